--- a/tools/test.sh
+++ b/tools/test.sh
@@ -41,12 +41,13 @@
 	echo $? >"$BUILD/scenario-logs/$name/status"
 }
 
-# Runs all scenarios one after another: each has the machine to itself.
+# Runs all scenarios one after another: each has the machine to itself. SLOT,
+# SLOT0 and BASE_PORT give a second run on the machine ports of its own.
 scenarios() {
 	for script in test/scenarios/*.lua; do
 		name=$(basename "$script" .lua)
 		case $name in lib*) continue ;; esac
-		scenario "$script" 0
+		scenario "$script" "${SLOT:-0}"
 		run "scenario $name" [ "$(cat "$BUILD/scenario-logs/$name/status")" -eq 0 ]
 		cat "$BUILD/scenario-logs/$name/out"
 	done
