--- a/bench/members_bench.c
+++ b/bench/cluster_bench.c
@@ -10,8 +10,8 @@
 #include <time.h>
 
 #include "log.h"
-#include "members.h"
-#include "shard.h"
+#include "cluster.h"
+#include "pool_shard.h"
 
 #define DOMAINS 5U
 #define TICK_US 10000U
--- a/bench/core_bench.c
+++ b/bench/core_bench.c
@@ -9,7 +9,7 @@
 #include <string.h>
 #include <time.h>
 
-#include "core_impl.h"
+#include "entry_core_impl.h"
 #include "log.h"
 
 #define NODES 2
--- a/bench/load_model.cc
+++ b/bench/load_model.cc
@@ -11,7 +11,7 @@
 
 #include <argtable2.h>
 
-#include "front_world.h"
+#include "submitter_world.h"
 #include "pool_world.h"
 
 extern "C" {
--- a/src/members.c
+++ b/src/cluster.c
@@ -2,7 +2,7 @@
 
 #include "ident.h"
 #include "log.h"
-#include "members_impl.h"
+#include "cluster_impl.h"
 
 #define PART "members"
 /* Instances of a domain from which on one reads the list of executors for all:
--- a/src/members.h
+++ b/src/cluster.h
@@ -1,5 +1,5 @@
-#ifndef PH_MEMBERS_H
-#define PH_MEMBERS_H
+#ifndef PH_CLUSTER_H
+#define PH_CLUSTER_H
 
 /*
  * The entry instances that live, by their heartbeats, and which of them owns
--- a/src/members_beats.c
+++ b/src/cluster_heartbeat.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 #include "log.h"
-#include "members_impl.h"
+#include "cluster_impl.h"
 
 #define PART "members"
 /* Instances from which on heartbeats are thinned out: with more, those of the
--- a/src/members_impl.h
+++ b/src/cluster_impl.h
@@ -1,10 +1,10 @@
-#ifndef PH_MEMBERS_IMPL_H
-#define PH_MEMBERS_IMPL_H
+#ifndef PH_CLUSTER_IMPL_H
+#define PH_CLUSTER_IMPL_H
 
 /* Shared by members.c (who lives), members_beats.c (heartbeats and links) and
  * members_claims.c (who owns which pool). */
 
-#include "members.h"
+#include "cluster.h"
 
 /* A silent peer counts as known for this long. */
 #define PH_KNOWN_US 15000000U
--- a/src/members_claims.c
+++ b/src/cluster_ownership.c
@@ -4,8 +4,8 @@
 
 #include "ident.h"
 #include "log.h"
-#include "members_impl.h"
-#include "shard.h"
+#include "cluster_impl.h"
+#include "pool_shard.h"
 
 #define PART "members"
 /* Vacancy of a pool before an instance of its domain claims it: time for the
--- a/src/directory.h
+++ b/src/directory.h
@@ -8,7 +8,7 @@
  * that hold the same list, by its digest, keep it alike by passing changes on.
  */
 
-#include "work.h"
+#include "pool_types.h"
 
 struct ph_directory;
 
--- a/src/node.c
+++ b/src/dispatcher.c
@@ -6,8 +6,8 @@
 
 #include "log.h"
 #include "mailbox.h"
-#include "node_impl.h"
-#include "shard.h"
+#include "dispatcher_impl.h"
+#include "pool_shard.h"
 
 #define PART "node"
 /* Longest wait of the control thread; the deciders' ticks need 20 ms. What an
--- a/src/node.h
+++ b/src/dispatcher.h
@@ -1,5 +1,5 @@
-#ifndef PH_NODE_H
-#define PH_NODE_H
+#ifndef PH_DISPATCHER_H
+#define PH_DISPATCHER_H
 
 /*
  * An entry instance on a platform: its front, its pools and its membership
@@ -9,7 +9,7 @@
 
 #include "clock.h"
 #include "directory.h"
-#include "front.h"
+#include "submitter.h"
 #include "routing.h"
 
 struct ph_node;
--- a/src/node_list.c
+++ b/src/dispatcher_executors.c
@@ -10,8 +10,8 @@
 #include <string.h>
 
 #include "log.h"
-#include "node_impl.h"
-#include "shard.h"
+#include "dispatcher_impl.h"
+#include "pool_shard.h"
 
 #define PART "node"
 /* Pools that have executors which left the list are looked at this often. */
--- a/src/node_impl.h
+++ b/src/dispatcher_impl.h
@@ -1,5 +1,5 @@
-#ifndef PH_NODE_IMPL_H
-#define PH_NODE_IMPL_H
+#ifndef PH_DISPATCHER_IMPL_H
+#define PH_DISPATCHER_IMPL_H
 
 /* Shared by node.c (the control thread, life), node_peer.c (messages),
  * node_pools.c (pools, membership), node_list.c (the list of executors),
@@ -8,7 +8,7 @@
 #include <apr_thread_proc.h>
 
 #include "histogram.h"
-#include "node.h"
+#include "dispatcher.h"
 #include "transport.h"
 
 #define PH_POOL_CALL_SHIFT 48U
--- a/src/node_front.c
+++ b/src/dispatcher_jobs.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 #include "log.h"
-#include "node_impl.h"
+#include "dispatcher_impl.h"
 
 #define PART "node"
 /* Last part of the grace time, kept for closing. */
--- a/src/node_peer.c
+++ b/src/dispatcher_peers.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 #include "log.h"
-#include "node_impl.h"
+#include "dispatcher_impl.h"
 
 #define PART "node"
 /* Outcomes are repeated to an instance that doesn't acknowledge them. */
--- a/src/node_pools.c
+++ b/src/dispatcher_pools.c
@@ -3,8 +3,8 @@
 #include <string.h>
 
 #include "log.h"
-#include "node_impl.h"
-#include "shard.h"
+#include "dispatcher_impl.h"
+#include "pool_shard.h"
 
 #define PART "node"
 
--- a/src/node_report.c
+++ b/src/dispatcher_report.c
@@ -2,7 +2,7 @@
 #include <string.h>
 
 #include "log.h"
-#include "node_impl.h"
+#include "dispatcher_impl.h"
 
 #define PART "node"
 
--- a/src/core.c
+++ b/src/entry_core.c
@@ -3,7 +3,7 @@
 
 #include <jansson.h>
 
-#include "core_impl.h"
+#include "entry_core_impl.h"
 
 #define PAUSE_FACTOR 5U
 #define DUMP_JOBS 50U
--- a/src/core.h
+++ b/src/entry_core.h
@@ -1,5 +1,5 @@
-#ifndef PH_CORE_H
-#define PH_CORE_H
+#ifndef PH_ENTRY_CORE_H
+#define PH_ENTRY_CORE_H
 
 /*
  * The decisions of one entry instance as a deterministic state machine. It is
--- a/src/core_impl.h
+++ b/src/entry_core_impl.h
@@ -1,9 +1,9 @@
-#ifndef PH_CORE_IMPL_H
-#define PH_CORE_IMPL_H
+#ifndef PH_ENTRY_CORE_IMPL_H
+#define PH_ENTRY_CORE_IMPL_H
 
 /* State shared by the core's parts; no other module includes this. */
 
-#include "core.h"
+#include "entry_core.h"
 #include "ident.h"
 #include "ledger.h"
 
--- a/src/dispatch.c
+++ b/src/entry_dispatch.c
@@ -1,6 +1,6 @@
 #include <string.h>
 
-#include "core_impl.h"
+#include "entry_core_impl.h"
 
 #define OVERDUE_US 1000000U
 #define FIRST_RUNNING 64U
--- a/src/entry_impl.h
+++ b/src/entry_impl.h
@@ -6,7 +6,7 @@
 #include <apr_thread_proc.h>
 
 #include "confstore.h"
-#include "core.h"
+#include "entry_core.h"
 #include "httpc.h"
 #include "httpd.h"
 #include "mailbox.h"
--- a/src/membership.c
+++ b/src/entry_membership.c
@@ -1,6 +1,6 @@
 #include <string.h>
 
-#include "core_impl.h"
+#include "entry_core_impl.h"
 
 #define READ_EVERY_US 300000U
 #define JOIN_FORCE_FACTOR 3U
--- a/src/peers.c
+++ b/src/entry_peers.c
@@ -1,6 +1,6 @@
 #include <string.h>
 
-#include "core_impl.h"
+#include "entry_core_impl.h"
 
 #define ROSTER_SEND_EVERY_US 100000U
 #define FORGET_PEER_US 60000000U
--- a/src/replicate.c
+++ b/src/entry_replication.c
@@ -1,6 +1,6 @@
 #include <string.h>
 
-#include "core_impl.h"
+#include "entry_core_impl.h"
 
 #define LAZY_US 30000U
 #define RESEND_US 250000U
--- a/src/requests.c
+++ b/src/entry_requests.c
@@ -4,7 +4,7 @@
 
 #include <jansson.h>
 
-#include "core_impl.h"
+#include "entry_core_impl.h"
 
 #define MAX_HOPS 3U
 #define RELAY_KEEP_US 900000000U
--- a/src/pool.h
+++ b/src/pool.h
@@ -7,7 +7,7 @@
  * of. It reads no clock and opens no socket.
  */
 
-#include "work.h"
+#include "pool_types.h"
 
 struct ph_pool;
 
--- a/src/shard.c
+++ b/src/pool_shard.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 #include "ident.h"
-#include "shard.h"
+#include "pool_shard.h"
 
 /* Executors of a shard: their starts and looks fit into a tenth of a core,
  * and a job of the widest kind finds room in one of them. */
--- a/src/shard.h
+++ b/src/pool_shard.h
@@ -1,5 +1,5 @@
-#ifndef PH_SHARD_H
-#define PH_SHARD_H
+#ifndef PH_POOL_SHARD_H
+#define PH_POOL_SHARD_H
 
 /*
  * Pools of a large failure domain: its executors are split over shards, each
--- a/src/work.c
+++ b/src/pool_types.c
@@ -1,5 +1,5 @@
 #include "ident.h"
-#include "work.h"
+#include "pool_types.h"
 
 uint32_t ph_where(const char *executor)
 {
--- a/src/work.h
+++ b/src/pool_types.h
@@ -1,5 +1,5 @@
-#ifndef PH_WORK_H
-#define PH_WORK_H
+#ifndef PH_POOL_TYPES_H
+#define PH_POOL_TYPES_H
 
 /*
  * Work as it travels from the caller's entry instance to the owner of a pool
--- a/src/routing.h
+++ b/src/routing.h
@@ -4,7 +4,7 @@
 /* The operators' routes in force on a platform: which queue a request belongs
  * to and what holds for its jobs. Immutable once built. */
 
-#include "work.h"
+#include "pool_types.h"
 
 #define PH_HOST_BYTES 128U
 #define PH_PREFIX_BYTES 128U
--- a/src/front.c
+++ b/src/submitter.c
@@ -1,9 +1,9 @@
 #include <string.h>
 
-#include "front.h"
+#include "submitter.h"
 #include "ident.h"
 #include "log.h"
-#include "shard.h"
+#include "pool_shard.h"
 
 #define PART "front"
 /* A batch that was not accepted is sent again: two round trips to another
--- a/src/front.h
+++ b/src/submitter.h
@@ -1,5 +1,5 @@
-#ifndef PH_FRONT_H
-#define PH_FRONT_H
+#ifndef PH_SUBMITTER_H
+#define PH_SUBMITTER_H
 
 /*
  * Jobs of callers at the entry instance that holds their connections: each
@@ -7,7 +7,7 @@
  * answered whole. Nothing of it is stored.
  */
 
-#include "members.h"
+#include "cluster.h"
 
 struct ph_front;
 
--- a/test/sim.h
+++ b/test/sim.h
@@ -16,7 +16,7 @@
 #include <vector>
 
 extern "C" {
-#include "core.h"
+#include "entry_core.h"
 }
 
 namespace sim
--- a/test/standin_fleet.c
+++ b/test/standin_fleet.c
@@ -20,7 +20,7 @@
 
 #include "httpc.h"
 #include "httpd.h"
-#include "node.h"
+#include "dispatcher.h"
 #include "settings.h"
 #include "wire_json.h"
 
--- a/test/front_world.cc
+++ b/test/submitter_world.cc
@@ -1,4 +1,4 @@
-#include "front_world.h"
+#include "submitter_world.h"
 
 #include <algorithm>
 #include <cmath>
@@ -13,7 +13,7 @@
 
 extern "C" {
 #include "log.h"
-#include "shard.h"
+#include "pool_shard.h"
 }
 
 namespace front_world
--- a/test/front_world.h
+++ b/test/submitter_world.h
@@ -3,13 +3,13 @@
  * are a heartbeat old. Fronts and members are the programs'; a pool is a number
  * of places and a queue. Time is simulated; deterministic by seed.
  */
-#ifndef PH_TEST_FRONT_WORLD_H
-#define PH_TEST_FRONT_WORLD_H
+#ifndef PH_TEST_SUBMITTER_WORLD_H
+#define PH_TEST_SUBMITTER_WORLD_H
 
 #include <cstdint>
 
 extern "C" {
-#include "front.h"
+#include "submitter.h"
 }
 
 namespace front_world
--- a/test/test_members.cc
+++ b/test/test_cluster.cc
@@ -10,7 +10,7 @@
 
 extern "C" {
 #include "log.h"
-#include "members.h"
+#include "cluster.h"
 }
 
 namespace
--- a/test/test_routing.cc
+++ b/test/test_routing.cc
@@ -7,7 +7,7 @@
 extern "C" {
 #include "histogram.h"
 #include "routing.h"
-#include "shard.h"
+#include "pool_shard.h"
 }
 
 namespace
--- a/test/test_front.cc
+++ b/test/test_submitter.cc
@@ -4,10 +4,10 @@
 #include <string>
 #include <vector>
 
-#include "front_world.h"
+#include "submitter_world.h"
 
 extern "C" {
-#include "front.h"
+#include "submitter.h"
 #include "log.h"
 }
 
