--- a/src/routing.h
+++ b/src/routing.h
@@ -4,7 +4,7 @@
 /* The operators' routes in force on a platform: which queue a request belongs
  * to and what holds for its jobs. Immutable once built. */
 
-#include "work.h"
+#include "pool_types.h"
 
 #define PH_HOST_BYTES 128U
 #define PH_PREFIX_BYTES 128U
@@ -24,7 +24,7 @@
 	/** A job's aim: so many percent of its longest chain of work ... */
 	uint32_t stretch_percent;
 	/** ... and this much more. */
-	uint64_t aim_extra_us;
+	uint64_t target_extra_us;
 };
 
 struct ph_routing {
--- a/test/front_world.h
+++ b/test/submitter_world.h
@@ -3,16 +3,16 @@
  * are a heartbeat old. Fronts and members are the programs'; a pool is a number
  * of places and a queue. Time is simulated; deterministic by seed.
  */
-#ifndef PH_TEST_FRONT_WORLD_H
-#define PH_TEST_FRONT_WORLD_H
+#ifndef PH_TEST_SUBMITTER_WORLD_H
+#define PH_TEST_SUBMITTER_WORLD_H
 
 #include <cstdint>
 
 extern "C" {
-#include "front.h"
+#include "submitter.h"
 }
 
-namespace front_world
+namespace submitter_world
 {
 
 struct Load {
@@ -24,7 +24,7 @@
 	double factor = 0.8;
 	double seconds = 10;
 	unsigned seed = 1;
-	const ph_spill_policy *policy = &ph_spill_spread;
+	const ph_pool_choice_policy *policy = &ph_pool_choice_spread;
 };
 
 struct Spread {
@@ -41,6 +41,6 @@
 
 Spread play(const Load &load);
 
-} // namespace front_world
+} // namespace submitter_world
 
 #endif
