--- a/bench/core_bench.c
+++ b/bench/core_bench.c
@@ -1,7 +1,9 @@
 /*
- * Slopes of the deciders: two cores joined by memory run jobs of several
- * sizes. Prints messages, bytes and processor time per job and per task, and
- * the memory of a remembered job, at three sizes or more.
+ * Cost of the entry core by job size: two cores in one process, whose messages
+ * are passed through memory, run jobs of several sizes. Prints per job the
+ * messages, bytes, CPU time (also per task), bytes of the answer, and the
+ * memory of an ended job in the ledger, each at three sizes or more so that
+ * growth shows.
  */
 
 #include <stdio.h>
@@ -12,12 +14,12 @@
 #include "entry_core_impl.h"
 #include "log.h"
 
-#define NODES 2
+#define INSTANCES 2
 #define US_PER_S 1000000U
 #define NS_PER_US 1000U
 #define STEP_US 1000U
-#define PENDING_MAX 65536
-#define BODY_BYTES 32768
+#define MAX_PENDING 65536
+#define MAX_BODY_BYTES 32768
 
 struct frame {
 	int to;
@@ -25,22 +27,24 @@
 	size_t len;
 };
 
-struct done {
-	int node;
+struct finished_task {
+	int instance;
 	uint64_t start_id;
 };
 
-struct world {
-	struct ph_core *core[NODES];
-	char addr[NODES][PH_ADDR_BYTES];
-	struct frame frames[PENDING_MAX];
+/* Two cores, the messages between them, and a platform in memory. */
+struct cluster {
+	struct ph_core *core[INSTANCES];
+	char addr[INSTANCES][PH_ADDR_BYTES];
+	struct frame frames[MAX_PENDING];
 	size_t frame_count;
-	struct done dones[PENDING_MAX];
-	size_t done_count;
+	struct finished_task finished[MAX_PENDING];
+	size_t finished_count;
 	char roster[4096];
 	uint64_t index;
-	bool read_pending[NODES];
-	int write_pending[NODES];
+	bool read_pending[INSTANCES];
+	/* 1: written, 2: conflict; 0: no write is in progress. */
+	int write_pending[INSTANCES];
 	uint64_t now_us;
 	uint64_t frames_sent;
 	uint64_t bytes_sent;
@@ -49,11 +53,13 @@
 	uint64_t starts;
 };
 
-struct port {
-	struct world *world;
-	int node;
+struct core_ctx {
+	struct cluster *cluster;
+	int instance;
 };
 
+/* Bytes allocated by the cores. Each block is preceded by 16 bytes that hold
+ * its size. */
 static size_t allocated;
 
 static void *counting_calloc(size_t count, size_t size)
@@ -105,65 +111,65 @@
 
 static void on_send(void *ctx, const char *addr, const struct ph_msg *msg)
 {
-	struct port *p = ctx;
-	struct world *w = p->world;
+	struct core_ctx *p = ctx;
+	struct cluster *c = p->cluster;
 	struct ph_buf buf;
-	int to = strcmp(addr, w->addr[0]) != 0;
+	int to = strcmp(addr, c->addr[0]) != 0;
 
 	ph_buf_init(&buf, ph_mem_default());
 	ph_msg_encode(msg, &buf);
-	w->frames_sent++;
-	w->bytes_sent += buf.len;
-	if (w->frame_count == PENDING_MAX)
+	c->frames_sent++;
+	c->bytes_sent += buf.len;
+	if (c->frame_count == MAX_PENDING)
 		abort();
-	w->frames[w->frame_count].to = to;
-	w->frames[w->frame_count].len = buf.len;
-	w->frames[w->frame_count++].data = ph_buf_detach(&buf);
+	c->frames[c->frame_count].to = to;
+	c->frames[c->frame_count].len = buf.len;
+	c->frames[c->frame_count++].data = ph_buf_detach(&buf);
 }
 
 static void on_start(void *ctx, const struct ph_start *start)
 {
-	struct port *p = ctx;
-	struct world *w = p->world;
+	struct core_ctx *p = ctx;
+	struct cluster *c = p->cluster;
 
-	if (w->done_count == PENDING_MAX)
+	if (c->finished_count == MAX_PENDING)
 		abort();
-	w->dones[w->done_count].node = p->node;
-	w->dones[w->done_count++].start_id = start->start_id;
-	w->starts++;
+	c->finished[c->finished_count].instance = p->instance;
+	c->finished[c->finished_count++].start_id = start->start_id;
+	c->starts++;
 }
 
 static void on_reply(void *ctx, uint64_t token, int status, const char *doc,
 		     size_t len)
 {
-	struct port *p = ctx;
+	struct core_ctx *p = ctx;
 
 	(void)token;
 	(void)doc;
 	if (status != 200)
 		return;
-	p->world->answers++;
-	p->world->answer_bytes += len;
+	p->cluster->answers++;
+	p->cluster->answer_bytes += len;
 }
 
 static void on_read(void *ctx)
 {
-	struct port *p = ctx;
+	struct core_ctx *p = ctx;
 
-	p->world->read_pending[p->node] = true;
+	p->cluster->read_pending[p->instance] = true;
 }
 
 static void on_write(void *ctx, uint64_t index, const char *doc, size_t len)
 {
-	struct port *p = ctx;
-	struct world *w = p->world;
+	struct core_ctx *p = ctx;
+	struct cluster *c = p->cluster;
 
-	w->write_pending[p->node] = index == w->index ? 1 : 2;
-	if (index != w->index || len >= sizeof(w->roster))
+	c->write_pending[p->instance] = index == c->index ? 1 : 2;
+	if (index != c->index || len >= sizeof(c->roster))
 		return;
-	memcpy(w->roster, doc, len);
-	w->roster[len] = '\0';
-	w->index++;
+	memcpy(c->roster, doc, len);
+	c->roster[len] = '\0';
+	c->index++;
 }
 
 static const struct ph_core_sink sink = {
@@ -174,67 +180,67 @@
 	.roster_write = on_write,
 };
 
-static void deliver(struct world *w)
+static void deliver_messages(struct cluster *c)
 {
 	size_t i;
 
-	for (i = 0; i < w->frame_count; i++) {
-		struct frame *f = &w->frames[i];
+	for (i = 0; i < c->frame_count; i++) {
+		struct frame *f = &c->frames[i];
 		struct ph_msg_box *box;
 
 		if (!ph_msg_decode(ph_mem_default(),
 				   f->data + PH_MSG_FRAME_BYTES,
 				   f->len - PH_MSG_FRAME_BYTES, &box)) {
-			ph_core_message(w->core[f->to], w->now_us,
+			ph_core_message(c->core[f->to], c->now_us,
 					ph_msg_of(box));
 			ph_msg_box_free(box);
 		}
 		free(f->data);
 	}
-	w->frame_count = 0;
+	c->frame_count = 0;
 }
 
-static void finish_tasks(struct world *w)
+static void finish_tasks(struct cluster *c)
 {
-	size_t count = w->done_count;
+	size_t count = c->finished_count;
 	size_t i;
 
 	for (i = 0; i < count; i++)
-		ph_core_task_done(w->core[w->dones[i].node], w->now_us,
-				  w->dones[i].start_id, PH_OUTCOME_DONE, 200,
+		ph_core_task_done(c->core[c->finished[i].instance], c->now_us,
+				  c->finished[i].start_id, PH_OUTCOME_DONE, 200,
 				  "{\"ok\":true}", 11);
-	w->done_count -= count;
-	memmove(w->dones, w->dones + count,
-		w->done_count * sizeof(w->dones[0]));
+	c->finished_count -= count;
+	memmove(c->finished, c->finished + count,
+		c->finished_count * sizeof(c->finished[0]));
 }
 
-static void platform(struct world *w, int node)
+static void pass_platform_results(struct cluster *c, int instance)
 {
-	if (w->read_pending[node]) {
-		w->read_pending[node] = false;
-		ph_core_roster_read(w->core[node], w->now_us, 0, w->index,
-				    w->index ? w->roster : NULL,
-				    strlen(w->roster));
+	if (c->read_pending[instance]) {
+		c->read_pending[instance] = false;
+		ph_core_roster_read(c->core[instance], c->now_us, 0, c->index,
+				    c->index ? c->roster : NULL,
+				    strlen(c->roster));
 	}
-	if (w->write_pending[node]) {
-		int err = w->write_pending[node] == 1 ? 0 : PH_ERR_CONFLICT;
+	if (c->write_pending[instance]) {
+		int err = c->write_pending[instance] == 1 ? 0 : PH_ERR_CONFLICT;
 
-		w->write_pending[node] = 0;
-		ph_core_roster_written(w->core[node], w->now_us, err);
+		c->write_pending[instance] = 0;
+		ph_core_roster_written(c->core[instance], c->now_us, err);
 	}
 }
 
-static void step(struct world *w)
+static void step(struct cluster *c)
 {
 	int n;
 
-	w->now_us += STEP_US;
-	deliver(w);
-	finish_tasks(w);
-	for (n = 0; n < NODES; n++) {
-		platform(w, n);
-		if (w->now_us % PH_CORE_TICK_US == 0)
-			ph_core_tick(w->core[n], w->now_us);
+	c->now_us += STEP_US;
+	deliver_messages(c);
+	finish_tasks(c);
+	for (n = 0; n < INSTANCES; n++) {
+		pass_platform_results(c, n);
+		if (c->now_us % PH_CORE_TICK_US == 0)
+			ph_core_tick(c->core[n], c->now_us);
 	}
 }
 
@@ -244,7 +250,7 @@
 	"\"key_sha256\":\"aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa"
 	"aaaaaaaaaaaa\"}]}";
 
-static void start_core(struct world *w, struct port *port,
+static void start_core(struct cluster *c, struct core_ctx *ctx,
 		       const struct ph_config *config, uint32_t slots)
 {
 	char name[2][PH_NAME_BYTES] = { "n0", "n1" };
@@ -253,10 +259,10 @@
 				    .slots = slots };
 	struct ph_core_options o = {
 		.mem = &counting_mem,
-		.name = name[port->node],
+		.name = name[ctx->instance],
 		.domain = "a",
-		.addr = w->addr[port->node],
-		.incarnation = 1000 + (uint64_t)port->node,
+		.addr = c->addr[ctx->instance],
+		.incarnation = 1000 + (uint64_t)ctx->instance,
 		.ping_every_us = 250000,
 		.suspect_after_us = 1000000,
 		.solo_after_us = 2000000,
@@ -264,13 +270,14 @@
 		.hold_us = 3000000,
 		.queue_policy = &ph_queue_fair,
 		.sink = &sink,
-		.ctx = port,
+		.ctx = ctx,
 	};
 
-	w->core[port->node] = ph_core_new(&o, w->now_us);
-	ph_core_add_seed(w->core[port->node], w->addr[1 - port->node]);
-	ph_core_set_config(w->core[port->node], w->now_us, config);
-	ph_core_set_endpoints(w->core[port->node], w->now_us, "s", &listed, 1);
+	c->core[ctx->instance] = ph_core_new(&o, c->now_us);
+	ph_core_add_seed(c->core[ctx->instance], c->addr[1 - ctx->instance]);
+	ph_core_set_config(c->core[ctx->instance], c->now_us, config);
+	ph_core_set_endpoints(c->core[ctx->instance], c->now_us, "s", &listed,
+			      1);
 }
 
 static size_t make_body(char *body, int tasks)
@@ -281,17 +288,18 @@
 	for (i = 0; i < tasks; i++)
 		len += (size_t)sprintf(body + len,
 				       "%s{\"kind\":\"k\",\"payload\":"
-				       "{\"racket\":%d}}",
+				       "{\"number\":%d}}",
 				       i ? "," : "", i);
 	return len + (size_t)sprintf(body + len, "]}");
 }
 
-/* Runs jobs one after another in rounds and prints one line. */
+/* Submits per_round jobs at each step until all have been, and prints one line
+ * when all answers have come. */
 static void measure(int tasks, int jobs, int per_round, uint32_t slots)
 {
-	static struct world w;
-	static char body[BODY_BYTES];
-	struct port ports[NODES] = { { &w, 0 }, { &w, 1 } };
+	static struct cluster c;
+	static char body[MAX_BODY_BYTES];
+	struct core_ctx ctxs[INSTANCES] = { { &c, 0 }, { &c, 1 } };
 	struct ph_config *config;
 	size_t body_len = make_body(body, tasks);
 	uint64_t frames;
@@ -301,22 +309,22 @@
 	int sent = 0;
 	int n;
 
-	memset(&w, 0, sizeof(w));
-	w.now_us = US_PER_S;
-	snprintf(w.addr[0], PH_ADDR_BYTES, "10.0.0.1:1");
-	snprintf(w.addr[1], PH_ADDR_BYTES, "10.0.0.2:1");
+	memset(&c, 0, sizeof(c));
+	c.now_us = US_PER_S;
+	snprintf(c.addr[0], PH_ADDR_BYTES, "10.0.0.1:1");
+	snprintf(c.addr[1], PH_ADDR_BYTES, "10.0.0.2:1");
 	if (ph_config_parse(ph_mem_default(), config_text,
 			    sizeof(config_text) - 1, &config, NULL, NULL))
 		abort();
-	for (n = 0; n < NODES; n++)
-		start_core(&w, &ports[n], config, slots);
-	while (w.now_us < 3 * (uint64_t)US_PER_S)
-		step(&w);
-	frames = w.frames_sent;
-	bytes = w.bytes_sent;
+	for (n = 0; n < INSTANCES; n++)
+		start_core(&c, &ctxs[n], config, slots);
+	while (c.now_us < 3 * (uint64_t)US_PER_S)
+		step(&c);
+	frames = c.frames_sent;
+	bytes = c.bytes_sent;
 	before = allocated;
 	cpu = cpu_us();
-	while (w.answers < (uint64_t)jobs) {
+	while (c.answers < (uint64_t)jobs) {
 		int i;
 
 		for (i = 0; i < per_round && sent < jobs; i++, sent++) {
@@ -332,22 +340,22 @@
 			};
 
 			snprintf(id, sizeof(id), "a~job-%08d", sent);
-			ph_core_request(w.core[sent % NODES], w.now_us,
+			ph_core_request(c.core[sent % INSTANCES], c.now_us,
 					(uint64_t)sent + 1, &q);
 		}
-		step(&w);
+		step(&c);
 	}
 	cpu = cpu_us() - cpu;
 	for (n = 0; n < 200; n++)
-		step(&w);
+		step(&c);
 	printf("%5d %7d %8.2f %9.0f %9.1f %8.2f %9.0f %9.0f\n", tasks, jobs,
-	       (double)(w.frames_sent - frames) / jobs,
-	       (double)(w.bytes_sent - bytes) / jobs, (double)cpu / jobs,
-	       (double)cpu / jobs / tasks, (double)w.answer_bytes / jobs,
-	       (double)(allocated - before) / jobs / NODES -
-		       (double)w.answer_bytes / jobs);
-	for (n = 0; n < NODES; n++)
-		ph_core_free(w.core[n]);
+	       (double)(c.frames_sent - frames) / jobs,
+	       (double)(c.bytes_sent - bytes) / jobs, (double)cpu / jobs,
+	       (double)cpu / jobs / tasks, (double)c.answer_bytes / jobs,
+	       (double)(allocated - before) / jobs / INSTANCES -
+		       (double)c.answer_bytes / jobs);
+	for (n = 0; n < INSTANCES; n++)
+		ph_core_free(c.core[n]);
 	ph_config_free(config);
 }
 
@@ -358,17 +366,18 @@
 
 	ph_log_quiet(1);
 	printf("Two instances in one process; per job: messages and bytes "
-	       "between them,\nprocessor time of both with coding, answer "
-	       "bytes, and remembered bytes\nbeside the answer at each.\n\n");
-	printf("One job at a time:\n");
+	       "between them,\nCPU time of both with encoding and decoding, "
+	       "bytes of the answer, and bytes\nin the ledger of each instance "
+	       "without the answer.\n\n");
+	printf("One new job per step of 1 ms:\n");
 	printf("tasks    jobs messages     bytes   cpu_us  us/task    answer  "
-	       "beside\n");
+	       "ledger\n");
 	for (i = 0; i < 5; i++)
 		measure(sizes[i], 2000, 1, 1000);
-	printf("\nMany jobs at a time:\n");
+	printf("\nTen new jobs per step of 1 ms:\n");
 	for (i = 0; i < 5; i++)
 		measure(sizes[i], 20000 / (sizes[i] > 20 ? 10 : 1), 10, 4000);
-	printf("\nMemory by number of remembered jobs of one task:\n");
+	printf("\nMemory by number of ended jobs of one task in the ledger:\n");
 	measure(1, 10000, 50, 4000);
 	measure(1, 40000, 50, 4000);
 	measure(1, 160000, 50, 4000);
--- a/fuzz/fuzz_roster.c
+++ b/fuzz/fuzz_roster.c
@@ -1,4 +1,5 @@
-/* Decoder of rosters, which come from the platform and from peers. */
+/* Fuzzes the decoder of roster documents, which come from the platform and from
+ * peers. */
 
 #include <stdint.h>
 
--- a/src/entry.c
+++ b/src/entry.c
@@ -414,7 +414,7 @@
 		handle_message(e, ph_msg_of(m->box), now);
 		break;
 	case MAIL_REFUSED:
-		ph_core_refused(e->core, now, m->addr);
+		ph_core_connection_refused(e->core, now, m->addr);
 		break;
 	case MAIL_BROKEN:
 		ph_core_disconnected(e->core, now, m->addr);
--- a/src/entry_core.c
+++ b/src/entry_core.c
@@ -5,8 +5,11 @@
 
 #include "entry_core_impl.h"
 
-#define PAUSE_FACTOR 5U
-#define DUMP_JOBS 50U
+/* A gap between two inputs of more than this many tick intervals counts as a
+ * pause of the process. */
+#define PAUSE_TICKS 5U
+/* Most jobs in a state dump. */
+#define DUMP_MAX_JOBS 50U
 
 struct ph_core *ph_core_new(const struct ph_core_options *options,
 			    uint64_t now_us)
@@ -19,12 +22,13 @@
 	ph_strcopy(core->self.addr, PH_ADDR_BYTES, options->addr);
 	ph_strcopy(core->domain, PH_NAME_BYTES, options->domain);
 	core->self.incarnation = options->incarnation;
-	core->outside_us = now_us ? now_us : 1;
-	/* Answers to an earlier life of this instance must not match. */
+	core->non_member_since_us = now_us ? now_us : 1;
+	/* Relay tokens start at a value of the incarnation's own, so that
+	 * replies meant for an earlier incarnation match no relay. */
 	core->token =
 		ph_hash(&options->incarnation, sizeof(options->incarnation));
-	core->last_us = now_us;
-	core->awake_us = now_us;
+	core->last_input_us = now_us;
+	core->resumed_us = now_us;
 	ph_ledger_init(&core->ledger, core->mem);
 	return core;
 }
@@ -36,28 +40,29 @@
 	if (!core)
 		return;
 	ph_requests_free(core);
-	for (i = 0; i < PH_PEERS; i++) {
+	for (i = 0; i < PH_MAX_PEERS; i++) {
 		core->mem->free(core->peers[i].out.dirty);
 		core->mem->free(core->peers[i].out.batch);
 	}
 	ph_ledger_free(&core->ledger);
-	for (i = 0; i < core->lane_count; i++) {
-		ph_queue_free(core->lanes[i].queue);
-		ph_endpoints_free(core->lanes[i].endpoints);
+	for (i = 0; i < core->service_queue_count; i++) {
+		ph_queue_free(core->service_queues[i].queue);
+		ph_endpoints_free(core->service_queues[i].endpoints);
 	}
-	core->mem->free(core->lanes);
+	core->mem->free(core->service_queues);
 	core->mem->free(core->running);
 	core->mem->free(core);
 }
 
 void ph_core_enter(struct ph_core *core, uint64_t now_us)
 {
-	uint64_t longest_us = (uint64_t)PAUSE_FACTOR * PH_CORE_TICK_US;
+	uint64_t longest_us = (uint64_t)PAUSE_TICKS * PH_CORE_TICK_US;
 
-	if (now_us > core->last_us + longest_us && ph_rule(core, PH_RULE_PAUSE))
-		core->awake_us = now_us;
-	if (now_us > core->last_us)
-		core->last_us = now_us;
+	if (now_us > core->last_input_us + longest_us &&
+	    ph_rule(core, PH_RULE_PAUSE))
+		core->resumed_us = now_us;
+	if (now_us > core->last_input_us)
+		core->last_input_us = now_us;
 }
 
 void ph_core_send(struct ph_core *core, const char *addr, struct ph_msg *msg)
@@ -75,18 +80,20 @@
 struct ph_service_queue *ph_core_service_queue(struct ph_core *core,
 					       const char *service)
 {
-	struct ph_service_queue *lane;
+	struct ph_service_queue *sq;
 	size_t i;
 
-	for (i = 0; i < core->lane_count; i++)
-		if (!strcmp(core->lanes[i].endpoints->service, service))
-			return &core->lanes[i];
-	core->lanes = core->mem->realloc(
-		core->lanes, (core->lane_count + 1) * sizeof(*core->lanes));
-	lane = &core->lanes[core->lane_count++];
-	lane->endpoints = ph_endpoints_new(core->mem, service);
-	lane->queue = ph_queue_new(core->mem, core->opt.queue_policy);
-	return lane;
+	for (i = 0; i < core->service_queue_count; i++)
+		if (!strcmp(core->service_queues[i].endpoints->service,
+			    service))
+			return &core->service_queues[i];
+	core->service_queues = core->mem->realloc(
+		core->service_queues, (core->service_queue_count + 1) *
+					      sizeof(*core->service_queues));
+	sq = &core->service_queues[core->service_queue_count++];
+	sq->endpoints = ph_endpoints_new(core->mem, service);
+	sq->queue = ph_queue_new(core->mem, core->opt.queue_policy);
+	return sq;
 }
 
 void ph_core_set_config(struct ph_core *core, uint64_t now_us,
@@ -101,11 +108,11 @@
 			   const char *service, const struct ph_listed *listed,
 			   size_t count)
 {
-	struct ph_service_queue *lane = ph_core_service_queue(core, service);
+	struct ph_service_queue *sq = ph_core_service_queue(core, service);
 
 	ph_core_enter(core, now_us);
-	ph_endpoints_update(lane->endpoints, listed, count);
-	ph_endpoints_share(lane->endpoints, &core->roster,
+	ph_endpoints_update(sq->endpoints, listed, count);
+	ph_endpoints_share(sq->endpoints, &core->roster,
 			   ph_membership_self(core));
 	ph_dispatch_pump(core, now_us);
 	ph_replicate_flush(core, now_us);
@@ -137,7 +144,8 @@
 		ph_replicate_ack(core, now_us, msg);
 		break;
 	case PH_MSG_ROSTER:
-		ph_membership_adopt(core, now_us, 0, msg->doc, msg->doc_len);
+		ph_membership_apply_roster(core, now_us, 0, msg->doc,
+					   msg->doc_len);
 		break;
 	case PH_MSG_HANDED_OVER:
 		ph_membership_handed_over(core, now_us, msg);
@@ -156,19 +164,22 @@
 	ph_requests_target_gone(core, now_us, addr);
 }
 
-static bool member_of_many(const struct ph_core *core)
+static bool has_other_members(const struct ph_core *core)
 {
 	return ph_membership_self(core) >= 0 && core->roster.count > 1;
 }
 
-/* A stop is complete when nothing here would be missed by anybody. */
+/* A stop is complete when no task runs, no request waits and every record that
+ * another instance needs is replicated. */
 static void check_stopped(struct ph_core *core)
 {
 	core->stopped = false;
 	if (core->running_count || core->held_count || core->relay_count)
 		return;
-	if (member_of_many(core)) {
-		/* The platform is out: the copies take over by our death. */
+	if (has_other_members(core)) {
+		/* A member leaves the roster first. If the platform is out of
+		 * reach, the process may end as a member once its records are
+		 * replicated: the other holders take over after its death. */
 		if (!core->platform_failing || !ph_replicate_idle(core))
 			return;
 	} else if (ph_membership_self(core) >= 0) {
@@ -201,7 +212,7 @@
 
 void ph_core_add_seed(struct ph_core *core, const char *addr)
 {
-	if (core->seed_count < PH_SEEDS)
+	if (core->seed_count < PH_MAX_SEEDS)
 		ph_strcopy(core->seeds[core->seed_count++], PH_ADDR_BYTES,
 			   addr);
 }
@@ -229,10 +240,10 @@
 
 /* ## State dump */
 
-static const char *const life_names[] = {
+static const char *const liveness_names[] = {
 	[PH_ALIVE] = "alive",
 	[PH_DEAD_CLEAN] = "dead",
-	[PH_DEAD_LATE] = "dead-unaccounted",
+	[PH_DEAD_UNACCOUNTED] = "dead-unaccounted",
 };
 
 static json_t *dump_peers(const struct ph_core *core, uint64_t now_us)
@@ -240,64 +251,67 @@
 	json_t *list = json_array();
 	size_t i;
 
-	for (i = 0; i < PH_PEERS; i++) {
+	for (i = 0; i < PH_MAX_PEERS; i++) {
 		const struct ph_peer *p = &core->peers[i];
 
 		if (!p->used)
 			continue;
 		json_array_append_new(
 			list,
-			json_pack(
-				"{s:s,s:s,s:s,s:b,s:I,s:I}", "name", p->m.name,
-				"addr", p->m.addr, "life", life_names[p->life],
-				"silent", (int)ph_peer_silent(core, p, now_us),
-				"records_waiting", (json_int_t)p->out.count,
-				"sealed_version", (json_int_t)p->synced_to_me));
+			json_pack("{s:s,s:s,s:s,s:b,s:I,s:I}", "name",
+				  p->m.name, "addr", p->m.addr, "life",
+				  liveness_names[p->life], "silent",
+				  (int)ph_peer_silent(core, p, now_us),
+				  "records_waiting", (json_int_t)p->out.count,
+				  "sealed_version",
+				  (json_int_t)p->synced_to_me));
 	}
 	return list;
 }
 
-static json_t *dump_lanes(const struct ph_core *core)
+static json_t *dump_services(const struct ph_core *core)
 {
 	json_t *list = json_array();
 	size_t i;
 	size_t j;
 
-	for (i = 0; i < core->lane_count; i++) {
-		const struct ph_service_queue *lane = &core->lanes[i];
-		json_t *eps = json_array();
+	for (i = 0; i < core->service_queue_count; i++) {
+		const struct ph_service_queue *sq = &core->service_queues[i];
+		json_t *endpoints = json_array();
 
-		for (j = 0; j < lane->endpoints->count; j++) {
-			const struct ph_endpoint *e = lane->endpoints->list[j];
+		for (j = 0; j < sq->endpoints->count; j++) {
+			const struct ph_endpoint *e = sq->endpoints->list[j];
 
 			json_array_append_new(
-				eps, json_pack("{s:s,s:s,s:i,s:i,s:i,s:b,s:i}",
-					       "name", e->name, "addr", e->addr,
-					       "slots", (int)e->slots, "busy",
-					       (int)e->busy, "granted",
-					       (int)e->granted, "leaving",
-					       (int)e->leaving, "refusals",
-					       (int)e->refusals));
+				endpoints,
+				json_pack("{s:s,s:s,s:i,s:i,s:i,s:b,s:i}",
+					  "name", e->name, "addr", e->addr,
+					  "slots", (int)e->slots, "busy",
+					  (int)e->busy, "granted",
+					  (int)e->granted, "leaving",
+					  (int)e->leaving, "refusals",
+					  (int)e->refusals));
 		}
 		json_array_append_new(
 			list, json_pack("{s:s,s:I,s:o}", "service",
-					lane->endpoints->service, "queued_jobs",
-					(json_int_t)ph_queue_jobs(lane->queue),
-					"endpoints", eps));
+					sq->endpoints->service, "queued_jobs",
+					(json_int_t)ph_queue_jobs(sq->queue),
+					"endpoints", endpoints));
 	}
 	return list;
 }
 
-static const char *const right_names[] = {
+static const char *const permission_names[] = {
 	[PH_START_NONE] = "elsewhere",
 	[PH_START_WAIT] = "wait",
 	[PH_START_WITH_BACKUP] = "with-copy",
 	[PH_START_SOLO] = "alone",
 };
 
-static const char state_letters[] = "qbsnmd";
+/* Queued, bound, started, not run, may have run, done; see ph_task_state. */
+static const char task_state_letters[] = "qbsnmd";
 
-/* One line per job: a letter per task says its state. */
+/* One object per live job; "tasks" has one letter per task for its state. */
 static json_t *dump_jobs(const struct ph_core *core, uint64_t now_us)
 {
 	json_t *list = json_array();
@@ -307,15 +321,16 @@
 		char states[PH_MAX_TASKS + 1] = "";
 		uint32_t i;
 
-		if (json_array_size(list) == DUMP_JOBS)
+		if (json_array_size(list) == DUMP_MAX_JOBS)
 			break;
 		for (i = 0; i < job->live->task_count; i++)
-			states[i] = state_letters[job->live->tasks[i].state];
+			states[i] =
+				task_state_letters[job->live->tasks[i].state];
 		json_array_append_new(
 			list,
 			json_pack("{s:s,s:s,s:s,s:b,s:b,s:i,s:I}", "key",
 				  job->key, "right",
-				  right_names[ph_dispatch_permission(
+				  permission_names[ph_dispatch_permission(
 					  core, job, now_us, NULL)],
 				  "tasks", states, "ended", (int)job->ended,
 				  "enqueued", (int)job->live->enqueued,
@@ -405,9 +420,9 @@
 		(json_int_t)core->self.incarnation, "config_version",
 		(json_int_t)(core->config ? core->config->version : 0),
 		"active", (int)core->active, "outside",
-		(int)(core->outside_us != 0), "stopping", (int)core->stopping,
-		"platform_failing", (int)core->platform_failing, "roster",
-		dump_roster(core));
+		(int)(core->non_member_since_us != 0), "stopping",
+		(int)core->stopping, "platform_failing",
+		(int)core->platform_failing, "roster", dump_roster(core));
 	char *text;
 
 	json_object_set_new(
@@ -424,7 +439,7 @@
 			    json_integer((json_int_t)core->relay_count));
 	json_object_set_new(doc, "live_jobs", dump_jobs(core, now_us));
 	json_object_set_new(doc, "peers", dump_peers(core, now_us));
-	json_object_set_new(doc, "services", dump_lanes(core));
+	json_object_set_new(doc, "services", dump_services(core));
 	json_object_set_new(doc, "counters", dump_counters(core));
 	text = json_dumps(doc, JSON_INDENT(1));
 	json_decref(doc);
--- a/src/entry_dispatch.c
+++ b/src/entry_dispatch.c
@@ -13,13 +13,13 @@
 static bool accounted_for(const struct ph_core *core, const struct ph_job *job)
 {
 	if (job->live && job->live->fresh < core->roster.broken &&
-	    ph_rule(core, PH_RULE_UNBROKEN))
+	    ph_rule(core, PH_RULE_CONTINUITY))
 		return false;
 	if (job->first_attempt || job->known)
 		return true;
 	if (!ph_rule(core, PH_RULE_COMPLETE_AT_START))
 		return true;
-	return ph_membership_complete(core);
+	return ph_membership_all_accounted_for(core);
 }
 
 /* In a roster of two, a partner that died in time changed nothing unseen: it
@@ -34,11 +34,11 @@
 			    const struct ph_job *job,
 			    const struct ph_peer *partner, uint64_t now_us)
 {
-	if (!job->first_attempt && ph_rule(core, PH_RULE_ALONE_FIRST))
+	if (!job->first_attempt && ph_rule(core, PH_RULE_SOLO_FIRST_ATTEMPT))
 		return false;
-	if (!accounted_for(core, job) && ph_rule(core, PH_RULE_ALONE_FIRST))
+	if (!accounted_for(core, job) && ph_rule(core, PH_RULE_SOLO_FIRST_ATTEMPT))
 		return false;
-	return job->accepted_here && ph_peer_solo(core, partner, now_us);
+	return job->accepted_here && ph_peer_solo_allowed(core, partner, now_us);
 }
 
 enum ph_start_permission ph_dispatch_permission(const struct ph_core *core,
@@ -81,7 +81,7 @@
 	return self == pair.primary ? PH_START_WAIT : PH_START_NONE;
 }
 
-bool ph_dispatch_alone_task(const struct ph_core *core,
+bool ph_dispatch_may_start_solo(const struct ph_core *core,
 			    const struct ph_job *job,
 			    const struct ph_task *task, uint64_t now_us)
 {
@@ -92,14 +92,14 @@
 		return false;
 	if (!partner || !job->live->first_seq)
 		return true;
-	if (!ph_rule(core, PH_RULE_ALONE_UNSENT))
+	if (!ph_rule(core, PH_RULE_SOLO_UNSENT))
 		return true;
 	return task->sent_seq == job->live->first_seq;
 }
 
 /* ## Starting */
 
-void ph_dispatch_release(void *ctx, void *slot)
+void ph_dispatch_release_slot(void *ctx, void *slot)
 {
 	struct ph_endpoint *endpoint = slot;
 
@@ -107,7 +107,7 @@
 	endpoint->busy--;
 }
 
-static struct ph_running *running_new(struct ph_core *core, uint32_t *at)
+static struct ph_running_task *running_new(struct ph_core *core, uint32_t *at)
 {
 	size_t i;
 
@@ -119,12 +119,12 @@
 			core->running, cap * sizeof(*core->running));
 		memset(core->running + core->running_cap, 0,
 		       (cap - core->running_cap) * sizeof(*core->running));
-		core->running_free = core->running_cap;
+		core->running_free_hint = core->running_cap;
 		core->running_cap = cap;
 	}
-	for (i = core->running_free; core->running[i].used;)
+	for (i = core->running_free_hint; core->running[i].used;)
 		i = (i + 1) % core->running_cap;
-	core->running_free = (i + 1) % core->running_cap;
+	core->running_free_hint = (i + 1) % core->running_cap;
 	core->running_count++;
 	*at = (uint32_t)i;
 	return &core->running[i];
@@ -137,7 +137,7 @@
 	struct ph_spec_task *spec = &job->live->spec->tasks[index];
 	struct ph_endpoint *endpoint = task->slot;
 	uint32_t at;
-	struct ph_running *r = running_new(core, &at);
+	struct ph_running_task *r = running_new(core, &at);
 	struct ph_start start = {
 		.addr = endpoint->addr,
 		.service = job->live->service,
@@ -234,7 +234,7 @@
 	if (*right != PH_START_SOLO)
 		return false;
 	if (partner && job->live->first_seq &&
-	    ph_rule(core, PH_RULE_ALONE_UNSENT))
+	    ph_rule(core, PH_RULE_SOLO_UNSENT))
 		return false;
 	return true;
 }
@@ -265,8 +265,8 @@
 {
 	size_t i;
 
-	for (i = 0; i < core->lane_count; i++)
-		pump_lane(core, now_us, &core->lanes[i]);
+	for (i = 0; i < core->service_queue_count; i++)
+		pump_lane(core, now_us, &core->service_queues[i]);
 }
 
 static void unbind_task(struct ph_core *core, struct ph_job *job,
@@ -275,7 +275,7 @@
 	struct ph_task *task = &job->live->tasks[index];
 
 	if (task->slot)
-		ph_dispatch_release(core, task->slot);
+		ph_dispatch_release_slot(core, task->slot);
 	task->slot = NULL;
 	ph_task_set(job, index, state);
 }
@@ -431,7 +431,7 @@
 		       const char *result, size_t len)
 {
 	uint32_t at = (uint32_t)(start_id & INDEX_MASK);
-	struct ph_running *r;
+	struct ph_running_task *r;
 	struct ph_job *job;
 
 	ph_core_enter(core, now_us);
@@ -538,7 +538,7 @@
 
 		if (task->state != PH_TASK_BOUND)
 			continue;
-		if (!ph_dispatch_alone_task(core, job, task, now_us))
+		if (!ph_dispatch_may_start_solo(core, job, task, now_us))
 			continue;
 		start_alone(core, now_us, job, i);
 	}
@@ -561,7 +561,7 @@
 		ph_replicate(core, now_us, job, true);
 }
 
-void ph_dispatch_refuse(struct ph_core *core, struct ph_job *job)
+void ph_dispatch_mark_not_run(struct ph_core *core, struct ph_job *job)
 {
 	uint32_t i;
 
@@ -599,7 +599,7 @@
 	}
 	resolve_orphans(core, job);
 	if (job->cancelled && accounted_for(core, job))
-		ph_dispatch_refuse(core, job);
+		ph_dispatch_mark_not_run(core, job);
 	if (ph_job_all_final(job)) {
 		ph_dispatch_finish(core, now_us, job);
 		return;
@@ -674,7 +674,7 @@
 	size_t i;
 
 	for (i = 0; i < job->live->waiter_count; i++)
-		ph_requests_pending(core, &job->live->waiters[i]);
+		ph_requests_answer_pending(core, &job->live->waiters[i]);
 	job->live->waiter_count = 0;
 }
 
--- a/src/entry_membership.c
+++ b/src/entry_membership.c
@@ -2,9 +2,13 @@
 
 #include "entry_core_impl.h"
 
-#define READ_EVERY_US 300000U
-#define JOIN_FORCE_FACTOR 3U
-#define HANDED_OVER_EVERY_US 100000U
+/* Shortest time between two roster reads; a read after a write has no delay. */
+#define ROSTER_READ_INTERVAL_US 300000U
+/* A non-member replaces a roster without a live member after this multiple of
+ * solo_after_us, even if the members aren't known to be dead. */
+#define FORCED_JOIN_SOLO_FACTOR 3U
+/* Interval at which a removed member reports its complete hand-over. */
+#define HANDED_OVER_INTERVAL_US 100000U
 
 /* ## Roster */
 
@@ -13,7 +17,7 @@
 	return ph_roster_find(&core->roster, core->self.incarnation);
 }
 
-bool ph_membership_complete(const struct ph_core *core)
+bool ph_membership_all_accounted_for(const struct ph_core *core)
 {
 	return core->roster.lost_count == 0 || !ph_rule(core, PH_RULE_COMPLETE);
 }
@@ -22,13 +26,13 @@
 {
 	size_t i;
 
-	for (i = 0; i < core->lane_count; i++)
-		ph_endpoints_share(core->lanes[i].endpoints, &core->roster,
-				   ph_membership_self(core));
+	for (i = 0; i < core->service_queue_count; i++)
+		ph_endpoints_share(core->service_queues[i].endpoints,
+				   &core->roster, ph_membership_self(core));
 }
 
-static bool holds(const struct ph_roster *roster, uint64_t incarnation,
-		  uint64_t key_hash)
+static bool is_holder(const struct ph_roster *roster, uint64_t incarnation,
+		      uint64_t key_hash)
 {
 	struct ph_pair pair = ph_roster_pair(roster, key_hash);
 	int self = ph_roster_find(roster, incarnation);
@@ -36,30 +40,35 @@
 	return self >= 0 && (self == pair.primary || self == pair.backup);
 }
 
-/* The seals brought all that the former holders knew. */
-static void refresh_sealed(struct ph_core *core)
+/* The former holders have sent all their records: jobs that this instance holds
+ * are complete as of the present version, unless records were lost with a break
+ * of the roster. */
+static void mark_complete_after_sync(struct ph_core *core)
 {
 	const struct ph_roster *r = &core->roster;
 	struct ph_job *job;
 
 	ph_list_for (job, &core->ledger)
 		if (job->live->fresh >= r->broken &&
-		    holds(r, core->self.incarnation, job->key_hash))
+		    is_holder(r, core->self.incarnation, job->key_hash))
 			job->live->fresh = r->version;
 }
 
-/* Knowledge that was whole under the old roster stays so under the new one,
- * unless this instance is not in it: others go on without it. */
-static void refresh_carried(struct ph_core *core, const struct ph_roster *old)
+/* Jobs that were complete under the old roster stay so under the new one,
+ * unless this instance was removed: the other members may start tasks without
+ * it. Jobs that only this instance knows are always complete. */
+static void carry_over_completeness(struct ph_core *core,
+				    const struct ph_roster *old)
 {
 	bool member = ph_membership_self(core) >= 0;
 	struct ph_job *job;
 
 	ph_list_for (job, &core->ledger) {
-		bool whole = member && job->live->fresh >= old->version &&
-			     holds(old, core->self.incarnation, job->key_hash);
+		bool complete =
+			member && job->live->fresh >= old->version &&
+			is_holder(old, core->self.incarnation, job->key_hash);
 
-		if (whole || ph_job_unshared(job))
+		if (complete || ph_job_unshared(job))
 			job->live->fresh = core->roster.version;
 	}
 }
@@ -84,27 +93,29 @@
 			return;
 	}
 	core->active = true;
-	refresh_sealed(core);
+	mark_complete_after_sync(core);
 	ph_dispatch_review(core, now_us);
 	ph_requests_retry(core, now_us);
 }
 
+/* Sets the times at which the lost incarnations were first seen as lost; they
+ * stay on the list for the retention period of jobs from there. */
 static void track_lost(struct ph_core *core, uint64_t now_us,
 		       const struct ph_roster *old)
 {
-	uint64_t seen[PH_MAX_LOST];
+	uint64_t since[PH_MAX_LOST];
 	size_t i;
 	size_t j;
 
 	for (i = 0; i < core->roster.lost_count; i++) {
-		seen[i] = now_us;
+		since[i] = now_us;
 		for (j = 0; j < old->lost_count; j++)
 			if (core->lost_ids[j] == core->roster.lost[i])
-				seen[i] = core->lost_seen_us[j];
+				since[i] = core->lost_since_us[j];
 	}
 	for (i = 0; i < core->roster.lost_count; i++) {
 		core->lost_ids[i] = core->roster.lost[i];
-		core->lost_seen_us[i] = seen[i];
+		core->lost_since_us[i] = since[i];
 	}
 }
 
@@ -124,18 +135,20 @@
 		if (!p)
 			continue;
 		p->m = *m;
-		/* The time to be heard starts anew with membership. */
+		/* A new member counts as silent only suspect_after_us after
+		 * it has joined. */
 		if (m->joined == core->roster.version)
 			p->added_us = now_us;
 	}
 }
 
-/* Restarts all replication under the new roster. */
-static void reseal(struct ph_core *core, uint64_t now_us)
+/* Starts state transfer for a new roster: unacknowledged batches and every job
+ * whose holders lack its newest state are queued. */
+static void restart_sync(struct ph_core *core, uint64_t now_us)
 {
 	size_t i;
 
-	for (i = 0; i < PH_PEERS; i++) {
+	for (i = 0; i < PH_MAX_PEERS; i++) {
 		struct ph_peer *p = &core->peers[i];
 
 		if (!p->used)
@@ -147,8 +160,9 @@
 	ph_replicate_all(core, now_us);
 }
 
-static void adopt(struct ph_core *core, uint64_t now_us,
-		  const struct ph_roster *roster)
+/* Puts a newer roster of the own domain into effect. */
+static void apply_roster(struct ph_core *core, uint64_t now_us,
+			 const struct ph_roster *roster)
 {
 	struct ph_roster old = core->roster;
 	bool was_member = ph_membership_self(core) >= 0;
@@ -158,31 +172,32 @@
 	core->counters.roster_changes++;
 	core->active = false;
 	member = ph_membership_self(core) >= 0;
-	refresh_carried(core, &old);
+	carry_over_completeness(core, &old);
 	track_lost(core, now_us, &old);
 	add_member_peers(core, now_us);
 	share_endpoints(core);
 	if (member)
-		core->outside_us = 0;
-	else if (!core->outside_us)
-		core->outside_us = now_us;
+		core->non_member_since_us = 0;
+	else if (!core->non_member_since_us)
+		core->non_member_since_us = now_us;
 	if (was_member && !member)
 		core->retiring = true;
-	reseal(core, now_us);
+	restart_sync(core, now_us);
 	ph_dispatch_review(core, now_us);
 	ph_replicate_flush(core, now_us);
 	ph_membership_check_active(core, now_us);
 	ph_requests_retry(core, now_us);
 }
 
-static void adopt_foreign(struct ph_core *core, const struct ph_roster *roster)
+static void apply_foreign_roster(struct ph_core *core,
+				 const struct ph_roster *roster)
 {
 	size_t i;
 
 	for (i = 0; i < core->foreign_count; i++)
 		if (!strcmp(core->foreign[i].domain, roster->domain))
 			break;
-	if (i == PH_FOREIGN_DOMAINS)
+	if (i == PH_MAX_FOREIGN_DOMAINS)
 		return;
 	if (i == core->foreign_count)
 		core->foreign_count++;
@@ -190,15 +205,15 @@
 		core->foreign[i] = *roster;
 }
 
-void ph_membership_adopt(struct ph_core *core, uint64_t now_us, uint64_t index,
-			 const char *doc, size_t len)
+void ph_membership_apply_roster(struct ph_core *core, uint64_t now_us,
+				uint64_t index, const char *doc, size_t len)
 {
 	struct ph_roster roster;
 
 	if (ph_roster_decode(&roster, doc, len))
 		return;
 	if (strcmp(roster.domain, core->domain) != 0) {
-		adopt_foreign(core, &roster);
+		apply_foreign_roster(core, &roster);
 		ph_requests_retry(core, now_us);
 		return;
 	}
@@ -207,7 +222,7 @@
 		core->index_known = roster.version >= core->roster.version;
 	}
 	if (roster.version > core->roster.version)
-		adopt(core, now_us, &roster);
+		apply_roster(core, now_us, &roster);
 }
 
 /* ## Changes of the roster */
@@ -216,7 +231,7 @@
 {
 	if (core->reading || core->writing)
 		return;
-	if (core->read_us && now_us < core->read_us + READ_EVERY_US)
+	if (core->read_us && now_us < core->read_us + ROSTER_READ_INTERVAL_US)
 		return;
 	core->reading = true;
 	core->read_us = now_us;
@@ -234,7 +249,7 @@
 		return;
 	core->platform_ok_us = now_us;
 	if (doc) {
-		ph_membership_adopt(core, now_us, index, doc, len);
+		ph_membership_apply_roster(core, now_us, index, doc, len);
 	} else {
 		core->index = 0;
 		core->index_known = true;
@@ -246,7 +261,7 @@
 			 const char *doc, size_t len)
 {
 	ph_core_enter(core, now_us);
-	ph_membership_adopt(core, now_us, index, doc, len);
+	ph_membership_apply_roster(core, now_us, index, doc, len);
 	ph_replicate_flush(core, now_us);
 }
 
@@ -277,7 +292,7 @@
 	if (err && err != PH_ERR_CONFLICT)
 		core->platform_failing = true;
 	if (!err && core->proposed.version > core->roster.version)
-		adopt(core, now_us, &core->proposed);
+		apply_roster(core, now_us, &core->proposed);
 	start_read(core, now_us);
 	ph_replicate_flush(core, now_us);
 }
@@ -290,23 +305,25 @@
 	return next;
 }
 
-/* Removes one member that is dead or silent. */
+/* Proposes a roster without one member that is dead or silent; returns false if
+ * there is none. The member goes on the lost list unless its death was clean
+ * and state transfer complete. */
 static bool remove_failed(struct ph_core *core, uint64_t now_us)
 {
 	struct ph_roster next = next_roster(core);
 	size_t i;
 
-	for (i = 0; i < PH_PEERS; i++) {
+	for (i = 0; i < PH_MAX_PEERS; i++) {
 		struct ph_peer *p = &core->peers[i];
-		bool clean;
+		bool clean_death;
 
 		if (!p->used ||
 		    ph_roster_find(&core->roster, p->m.incarnation) < 0)
 			continue;
 		if (p->life == PH_ALIVE && !ph_peer_silent(core, p, now_us))
 			continue;
-		clean = p->life == PH_DEAD_CLEAN && core->active;
-		if (!ph_roster_remove(&next, p->m.incarnation, !clean))
+		clean_death = p->life == PH_DEAD_CLEAN && core->active;
+		if (!ph_roster_remove(&next, p->m.incarnation, !clean_death))
 			continue;
 		if (!core->active)
 			next.broken = next.version;
@@ -317,7 +334,9 @@
 	return false;
 }
 
-/* Takes a removed member off the lost list once it is accounted for. */
+/* Proposes a roster with one entry less on the lost list: that of a member that
+ * has handed over its records, or whose jobs are past their retention period.
+ */
 static bool clear_lost(struct ph_core *core, uint64_t now_us)
 {
 	struct ph_roster next = next_roster(core);
@@ -325,12 +344,12 @@
 
 	for (i = 0; i < core->roster.lost_count; i++) {
 		uint64_t id = core->roster.lost[i];
-		bool expired =
-			now_us >= core->lost_seen_us[i] + core->opt.remember_us;
+		bool expired = now_us >=
+			       core->lost_since_us[i] + core->opt.remember_us;
 
-		if (id != core->found_id && !expired)
+		if (id != core->handed_over_id && !expired)
 			continue;
-		ph_roster_found(&next, id);
+		ph_roster_clear_lost(&next, id);
 		start_write(core, &next);
 		return true;
 	}
@@ -343,17 +362,18 @@
 	(void)now_us;
 	if (msg->incarnation == msg->subject &&
 	    msg->roster_version == core->roster.version)
-		core->found_id = msg->subject;
+		core->handed_over_id = msg->subject;
 }
 
-static bool is_own_past(const struct ph_core *core,
-			const struct ph_roster_member *m)
+static bool is_own_earlier_incarnation(const struct ph_core *core,
+				       const struct ph_roster_member *m)
 {
 	return !strcmp(m->addr, core->self.addr) ||
 	       !strcmp(m->name, core->self.name);
 }
 
-/* Counts members that answer, and those that surely or maybe never will. */
+/* Counts the members that answer, and those known to be dead: their address or
+ * name is this instance's own, or their process has ended. */
 static void count_members(struct ph_core *core, uint64_t now_us, size_t *live,
 			  size_t *dead)
 {
@@ -366,15 +386,17 @@
 		struct ph_peer *p =
 			ph_peer_by_incarnation(core, m->incarnation);
 
-		if (is_own_past(core, m) || (p && p->life != PH_ALIVE))
+		if (is_own_earlier_incarnation(core, m) ||
+		    (p && p->life != PH_ALIVE))
 			(*dead)++;
 		else if (p && p->heard_us && !ph_peer_silent(core, p, now_us))
 			(*live)++;
 	}
 }
 
-/* Replaces a roster of which nobody is left. */
-static void join_alone(struct ph_core *core)
+/* Proposes a roster with this instance as its only member, when no other one is
+ * left; the former members go on the lost list. */
+static void replace_roster(struct ph_core *core)
 {
 	struct ph_roster next = next_roster(core);
 
@@ -387,11 +409,13 @@
 		start_write(core, &next);
 }
 
+/* Joins if all members answer. If none does, replaces the roster once all are
+ * known to be dead or the time for a forced join has come. */
 static void try_join(struct ph_core *core, uint64_t now_us)
 {
 	struct ph_roster next = next_roster(core);
-	uint64_t force_us =
-		core->outside_us + JOIN_FORCE_FACTOR * core->opt.solo_after_us;
+	uint64_t force_us = core->non_member_since_us +
+			    FORCED_JOIN_SOLO_FACTOR * core->opt.solo_after_us;
 	size_t live;
 	size_t dead;
 
@@ -404,39 +428,42 @@
 	if (live)
 		return;
 	if (dead == core->roster.count || now_us >= force_us)
-		join_alone(core);
+		replace_roster(core);
 }
 
-/* Everything is handed over: becomes a new instance that knows nothing but
- * which ids there were; whoever holds them now may die. */
+/* Everything is handed over: continues as a new incarnation with an empty
+ * ledger. The ids it held are kept for the retention period, so that they
+ * aren't accepted as new if their present holders die. */
 static void rejoin(struct ph_core *core, uint64_t now_us)
 {
 	size_t i;
 
-	for (i = 0; i < PH_PEERS; i++)
+	for (i = 0; i < PH_MAX_PEERS; i++)
 		ph_replicate_drop(core, &core->peers[i]);
-	for (i = 0; i < core->lane_count; i++) {
-		ph_queue_free(core->lanes[i].queue);
-		core->lanes[i].queue =
+	for (i = 0; i < core->service_queue_count; i++) {
+		ph_queue_free(core->service_queues[i].queue);
+		core->service_queues[i].queue =
 			ph_queue_new(core->mem, core->opt.queue_policy);
 	}
 	ph_ledger_retire(&core->ledger, now_us, now_us + core->opt.remember_us);
 	core->self.incarnation++;
 	core->retiring = false;
-	core->outside_us = now_us;
+	core->non_member_since_us = now_us;
 }
 
+/* Reports to the live peers that all records of this incarnation are
+ * replicated. */
 static void report_handed_over(struct ph_core *core, uint64_t now_us)
 {
 	size_t i;
 
-	for (i = 0; i < PH_PEERS; i++) {
+	for (i = 0; i < PH_MAX_PEERS; i++) {
 		struct ph_peer *p = &core->peers[i];
 		struct ph_msg msg = { .type = PH_MSG_HANDED_OVER };
 
 		if (!p->used || p->life != PH_ALIVE)
 			continue;
-		if (now_us < p->roster_sent_us + HANDED_OVER_EVERY_US)
+		if (now_us < p->roster_sent_us + HANDED_OVER_INTERVAL_US)
 			continue;
 		p->roster_sent_us = now_us;
 		msg.subject = core->self.incarnation;
@@ -444,6 +471,9 @@
 	}
 }
 
+/* Continues the retirement of a removed member: when its tasks have ended and
+ * all records are acknowledged, it reports that until the members have taken it
+ * off the lost list, and then joins again. */
 static void retire(struct ph_core *core, uint64_t now_us)
 {
 	if (core->running_count || !ph_replicate_idle(core))
@@ -454,7 +484,8 @@
 		rejoin(core, now_us);
 }
 
-/* Leaves once all queued jobs are with their copies. */
+/* Proposes a roster without this instance once all its records are replicated
+ * to the other holders. */
 static void leave(struct ph_core *core)
 {
 	struct ph_roster next = next_roster(core);
@@ -467,11 +498,11 @@
 		start_write(core, &next);
 }
 
-static bool some_peer_silent(const struct ph_core *core, uint64_t now_us)
+static bool some_peer_failed(const struct ph_core *core, uint64_t now_us)
 {
 	size_t i;
 
-	for (i = 0; i < PH_PEERS; i++) {
+	for (i = 0; i < PH_MAX_PEERS; i++) {
 		const struct ph_peer *p = &core->peers[i];
 
 		if (!p->used ||
@@ -483,6 +514,7 @@
 	return false;
 }
 
+/* Proposes at most one change of the roster. */
 static void change_roster(struct ph_core *core, uint64_t now_us)
 {
 	if (core->writing || !core->index_known || core->platform_failing)
@@ -501,8 +533,8 @@
 void ph_membership_tick(struct ph_core *core, uint64_t now_us)
 {
 	ph_peers_tick(core, now_us);
-	if (!core->index_known || core->outside_us || core->platform_failing ||
-	    some_peer_silent(core, now_us))
+	if (!core->index_known || core->non_member_since_us ||
+	    core->platform_failing || some_peer_failed(core, now_us))
 		start_read(core, now_us);
 	if (core->retiring)
 		retire(core, now_us);
--- a/src/entry_peers.c
+++ b/src/entry_peers.c
@@ -2,9 +2,12 @@
 
 #include "entry_core_impl.h"
 
-#define ROSTER_SEND_EVERY_US 100000U
-#define FORGET_PEER_US 60000000U
-#define NO_SOLO_OUTSIDE_US 1000000U
+/* Shortest time between two rosters sent to one peer. */
+#define ROSTER_SEND_INTERVAL_US 100000U
+/* The slot of a silent non-member may be reused after this time. */
+#define PEER_RETENTION_US 60000000U
+/* A non-member promises to start no task solo for this long. */
+#define NON_MEMBER_NO_SOLO_US 1000000U
 
 uint32_t ph_peer_slot(const struct ph_core *core, const struct ph_peer *peer)
 {
@@ -15,7 +18,7 @@
 {
 	size_t i;
 
-	for (i = 0; i < PH_PEERS; i++)
+	for (i = 0; i < PH_MAX_PEERS; i++)
 		if (core->peers[i].used && core->peers[i].m.incarnation == id)
 			return &core->peers[i];
 	return NULL;
@@ -25,7 +28,7 @@
 {
 	size_t i;
 
-	for (i = 0; i < PH_PEERS; i++) {
+	for (i = 0; i < PH_MAX_PEERS; i++) {
 		struct ph_peer *p = &core->peers[i];
 
 		if (p->used && p->life == PH_ALIVE && !strcmp(p->m.addr, addr))
@@ -41,14 +44,15 @@
 
 	if (since < peer->added_us)
 		since = peer->added_us;
-	if (since < core->awake_us)
-		since = core->awake_us;
+	if (since < core->resumed_us)
+		since = core->resumed_us;
 	return now_us >= since + core->opt.suspect_after_us;
 }
 
-/* Latest time at which the peer or the platform was in touch. */
-static uint64_t solo_base_us(const struct ph_core *core,
-			     const struct ph_peer *peer)
+/* Time of the last contact with the peer or the platform; not before the peer
+ * was added or the process resumed after a pause. */
+static uint64_t last_contact_us(const struct ph_core *core,
+				const struct ph_peer *peer)
 {
 	uint64_t base = peer->heard_us;
 
@@ -56,17 +60,19 @@
 		base = peer->added_us;
 	if (base < core->platform_ok_us)
 		base = core->platform_ok_us;
-	if (base < core->awake_us)
-		base = core->awake_us;
+	if (base < core->resumed_us)
+		base = core->resumed_us;
 	return base;
 }
 
-bool ph_peer_solo(const struct ph_core *core, const struct ph_peer *peer,
-		  uint64_t now_us)
+bool ph_peer_solo_allowed(const struct ph_core *core,
+			  const struct ph_peer *peer, uint64_t now_us)
 {
-	return now_us >= solo_base_us(core, peer) + core->opt.solo_after_us;
+	return now_us >= last_contact_us(core, peer) + core->opt.solo_after_us;
 }
 
+/* A slot may be reused once its peer is not a member, and is dead or was silent
+ * for the retention time. */
 static bool slot_reusable(const struct ph_core *core, const struct ph_peer *p,
 			  uint64_t now_us)
 {
@@ -74,11 +80,12 @@
 		return false;
 	if (p->life != PH_ALIVE)
 		return true;
-	return now_us > p->heard_us + FORGET_PEER_US &&
-	       now_us > p->added_us + FORGET_PEER_US;
+	return now_us > p->heard_us + PEER_RETENTION_US &&
+	       now_us > p->added_us + PEER_RETENTION_US;
 }
 
-static void clear_slot_bits(struct ph_core *core, uint32_t slot)
+/* Clears a slot's bit in all jobs before another peer gets the slot. */
+static void clear_peer_bits(struct ph_core *core, uint32_t slot)
 {
 	uint16_t keep = (uint16_t) ~(1U << slot);
 	size_t i;
@@ -101,16 +108,16 @@
 	struct ph_peer *slot = NULL;
 	size_t i;
 
-	for (i = 0; i < PH_PEERS && !slot; i++)
+	for (i = 0; i < PH_MAX_PEERS && !slot; i++)
 		if (!core->peers[i].used)
 			slot = &core->peers[i];
-	for (i = 0; i < PH_PEERS && !slot; i++)
+	for (i = 0; i < PH_MAX_PEERS && !slot; i++)
 		if (slot_reusable(core, &core->peers[i], now_us))
 			slot = &core->peers[i];
 	if (!slot)
 		return NULL;
 	ph_replicate_drop(core, slot);
-	clear_slot_bits(core, ph_peer_slot(core, slot));
+	clear_peer_bits(core, ph_peer_slot(core, slot));
 	core->mem->free(slot->out.dirty);
 	core->mem->free(slot->out.batch);
 	memset(slot, 0, sizeof(*slot));
@@ -120,12 +127,12 @@
 	return slot;
 }
 
-static size_t dead_members(const struct ph_core *core)
+static size_t count_dead_members(const struct ph_core *core)
 {
 	size_t dead = 0;
 	size_t i;
 
-	for (i = 0; i < PH_PEERS; i++) {
+	for (i = 0; i < PH_MAX_PEERS; i++) {
 		const struct ph_peer *p = &core->peers[i];
 
 		if (p->used && p->life != PH_ALIVE &&
@@ -135,46 +142,51 @@
 	return dead;
 }
 
-static void peer_died(struct ph_core *core, uint64_t now_us,
-		      struct ph_peer *peer)
+/* Marks a peer as dead, cleanly or not, and reviews the jobs it holds. */
+static void mark_peer_dead(struct ph_core *core, uint64_t now_us,
+			   struct ph_peer *peer)
 {
-	bool in_time = now_us < peer->no_solo_until_us;
-
-	if (!ph_rule(core, PH_RULE_DEATH_IN_TIME))
-		in_time = true;
-	peer->life = in_time ? PH_DEAD_CLEAN : PH_DEAD_LATE;
-	/* Two deaths at once can take both holders of a job. */
-	if (!core->active || dead_members(core) > 1)
-		peer->life = PH_DEAD_LATE;
+	bool clean = now_us < peer->no_solo_until_us;
+
+	if (!ph_rule(core, PH_RULE_CLEAN_DEATH))
+		clean = true;
+	peer->life = clean ? PH_DEAD_CLEAN : PH_DEAD_UNACCOUNTED;
+	/* If two members die at once, or one before state transfer is complete,
+	 * a job's last record may be lost. */
+	if (!core->active || count_dead_members(core) > 1)
+		peer->life = PH_DEAD_UNACCOUNTED;
 	ph_replicate_drop(core, peer);
 	ph_requests_target_gone(core, now_us, peer->m.addr);
 	ph_dispatch_review(core, now_us);
 	ph_requests_retry(core, now_us);
 }
 
-void ph_core_refused(struct ph_core *core, uint64_t now_us, const char *addr)
+void ph_core_connection_refused(struct ph_core *core, uint64_t now_us,
+				const char *addr)
 {
 	struct ph_peer *peer;
 
 	ph_core_enter(core, now_us);
 	peer = ph_peer_by_addr(core, addr);
 	if (peer)
-		peer_died(core, now_us, peer);
+		mark_peer_dead(core, now_us, peer);
 	else
 		ph_requests_target_gone(core, now_us, addr);
 	ph_replicate_flush(core, now_us);
 }
 
-/* A newer life at the address proves that the older one has ended. */
-static void end_older_incarnation(struct ph_core *core, uint64_t now_us,
-				  const struct ph_msg *msg)
+/* A message of an unknown incarnation from a peer's address proves that the
+ * peer's process has ended. */
+static void end_earlier_incarnation(struct ph_core *core, uint64_t now_us,
+				    const struct ph_msg *msg)
 {
 	struct ph_peer *old = ph_peer_by_addr(core, msg->addr);
 
 	if (old && old->m.incarnation != msg->incarnation)
-		peer_died(core, now_us, old);
+		mark_peer_dead(core, now_us, old);
 }
 
+/* Sends the own domain's roster to a peer that has an older one. */
 static void send_roster(struct ph_core *core, uint64_t now_us,
 			struct ph_peer *peer)
 {
@@ -182,7 +194,7 @@
 	struct ph_buf doc;
 
 	if (peer->roster_sent_us &&
-	    now_us < peer->roster_sent_us + ROSTER_SEND_EVERY_US)
+	    now_us < peer->roster_sent_us + ROSTER_SEND_INTERVAL_US)
 		return;
 	peer->roster_sent_us = now_us;
 	ph_buf_init(&doc, core->mem);
@@ -204,7 +216,7 @@
 	if (!peer) {
 		struct ph_roster_member m = { .incarnation = msg->incarnation };
 
-		end_older_incarnation(core, now_us, msg);
+		end_earlier_incarnation(core, now_us, msg);
 		ph_strcopy(m.name, sizeof(m.name), msg->name);
 		ph_strcopy(m.addr, sizeof(m.addr), msg->addr);
 		peer = ph_peer_add(core, now_us, &m);
@@ -218,16 +230,16 @@
 
 /* ## Heartbeats */
 
-/* Time, from now on, in which this instance can neither start alone nor
- * remove the peer whose ping has just arrived. */
-static uint64_t no_solo_for_us(const struct ph_core *core, uint64_t now_us)
+/* Time from now on for which this instance will neither start tasks solo nor
+ * remove the peer whose heartbeat has just arrived. */
+static uint64_t no_solo_duration_us(const struct ph_core *core, uint64_t now_us)
 {
 	uint64_t least = core->opt.suspect_after_us;
 	size_t i;
 
-	if (core->outside_us)
-		return NO_SOLO_OUTSIDE_US;
-	for (i = 0; i < PH_PEERS; i++) {
+	if (core->non_member_since_us)
+		return NON_MEMBER_NO_SOLO_US;
+	for (i = 0; i < PH_MAX_PEERS; i++) {
 		const struct ph_peer *p = &core->peers[i];
 		uint64_t at;
 
@@ -235,7 +247,7 @@
 			continue;
 		if (ph_roster_find(&core->roster, p->m.incarnation) < 0)
 			continue;
-		at = solo_base_us(core, p) + core->opt.solo_after_us;
+		at = last_contact_us(core, p) + core->opt.solo_after_us;
 		if (at <= now_us)
 			return 0;
 		if (at - now_us < least)
@@ -266,9 +278,11 @@
 	if (peer->synced_to_me < msg->synced_version)
 		peer->synced_to_me = msg->synced_version;
 	pong.sent_us = msg->sent_us;
-	/* Until it is told, our death would hide what we did without it. */
+	/* No promise before the peer has the records of earlier solo starts:
+	 * otherwise it would take this instance's death for a clean one and
+	 * start those tasks again. */
 	if (!peer->unreplicated || !ph_rule(core, PH_RULE_UNREPLICATED))
-		pong.no_solo_us = no_solo_for_us(core, now_us);
+		pong.no_solo_us = no_solo_duration_us(core, now_us);
 	pong.synced_version = peer->synced_by_me;
 	ph_core_send(core, peer->m.addr, &pong);
 	ph_membership_check_active(core, now_us);
@@ -293,7 +307,7 @@
 {
 	size_t i;
 
-	for (i = 0; i < PH_PEERS; i++) {
+	for (i = 0; i < PH_MAX_PEERS; i++) {
 		struct ph_peer *p = &core->peers[i];
 
 		if (!p->used || p->life != PH_ALIVE)
@@ -306,7 +320,8 @@
 	}
 }
 
-/* Until a roster is known, the seeds are asked for it. */
+/* While no roster is known, sends heartbeats to the seeds, which answer with
+ * the roster. */
 static void ping_seeds(struct ph_core *core, uint64_t now_us)
 {
 	struct ph_msg msg = { .type = PH_MSG_PING, .sent_us = now_us };
@@ -321,11 +336,12 @@
 			ph_core_send(core, core->seeds[i], &msg);
 }
 
-static void watch_silence(struct ph_core *core, uint64_t now_us)
+/* Ends the relays to peers that fell silent since the last tick. */
+static void check_silent_peers(struct ph_core *core, uint64_t now_us)
 {
 	size_t i;
 
-	for (i = 0; i < PH_PEERS; i++) {
+	for (i = 0; i < PH_MAX_PEERS; i++) {
 		struct ph_peer *p = &core->peers[i];
 		bool silent;
 
@@ -342,5 +358,5 @@
 {
 	send_pings(core, now_us);
 	ping_seeds(core, now_us);
-	watch_silence(core, now_us);
+	check_silent_peers(core, now_us);
 }
--- a/src/entry_replication.c
+++ b/src/entry_replication.c
@@ -2,12 +2,16 @@
 
 #include "entry_core_impl.h"
 
-#define LAZY_US 30000U
-#define RESEND_US 250000U
-#define BATCH_JOBS 256U
-#define BATCH_BYTES (4U << 20)
-
-/* The other holder of a job: the copy's for the primary, else the primary. */
+/* Longest time for which records that aren't urgent are collected. */
+#define BATCH_DELAY_US 30000U
+/* A batch is sent again if it isn't acknowledged in this time. */
+#define ACK_TIMEOUT_US 250000U
+/* A batch is closed at either limit. */
+#define BATCH_MAX_JOBS 256U
+#define BATCH_MAX_BYTES (4U << 20)
+
+/* The peer that gets a job's record: for the primary its backup, for others the
+ * primary. A non-member whose job has a dead primary sends to the backup. */
 static struct ph_peer *other_holder(struct ph_core *core,
 				    const struct ph_job *job)
 {
@@ -47,7 +51,7 @@
 		return;
 	job->dirty |= bit;
 	if (out->count == out->cap) {
-		out->cap = out->cap ? out->cap * 2 : BATCH_JOBS;
+		out->cap = out->cap ? out->cap * 2 : BATCH_MAX_JOBS;
 		out->dirty = core->mem->realloc(
 			out->dirty, out->cap * sizeof(struct ph_job *));
 	}
@@ -140,7 +144,7 @@
 {
 	size_t i;
 
-	for (i = 0; i < PH_PEERS; i++) {
+	for (i = 0; i < PH_MAX_PEERS; i++) {
 		const struct ph_peer *p = &core->peers[i];
 
 		if (p->used && p->life == PH_ALIVE &&
@@ -155,7 +159,7 @@
 	return job->answer_len + (job->live ? job->live->body_len : 0);
 }
 
-/* Moves a prefix of the dirty jobs into the batch. */
+/* Moves the oldest dirty jobs into the batch, up to its limits. */
 static void fill_batch(struct ph_core *core, struct ph_peer *peer)
 {
 	struct ph_outbox *out = &peer->out;
@@ -164,9 +168,10 @@
 	size_t n = 0;
 
 	if (!out->batch)
-		out->batch =
-			core->mem->calloc(BATCH_JOBS, sizeof(struct ph_job *));
-	while (n < out->count && n < BATCH_JOBS && bytes < BATCH_BYTES) {
+		out->batch = core->mem->calloc(BATCH_MAX_JOBS,
+					       sizeof(struct ph_job *));
+	while (n < out->count && n < BATCH_MAX_JOBS &&
+	       bytes < BATCH_MAX_BYTES) {
 		struct ph_job *job = out->dirty[n];
 
 		job->dirty &= (uint16_t)~bit;
@@ -180,8 +185,9 @@
 		out->count * sizeof(struct ph_job *));
 }
 
-/* Notes in which record a job and its starts were first sent. */
-static void stamp(struct ph_job *job, uint64_t seq)
+/* Stores the sequence number of the first batch that carries the job, and of
+ * the first that carries the start of each bound task. */
+static void note_first_seq(struct ph_job *job, uint64_t seq)
 {
 	struct ph_live *live = job->live;
 	uint32_t i;
@@ -198,6 +204,8 @@
 	}
 }
 
+/* Fills msg->records; jobs whose body the peer at this bit has go without it.
+ * The caller frees msg->records and *tasks. */
 static void build_records(struct ph_core *core, uint64_t now_us,
 			  struct ph_job *const *jobs, size_t count,
 			  uint16_t bit, struct ph_msg *msg,
@@ -235,7 +243,7 @@
 	if (!out->count)
 		out->urgent = false;
 	for (i = 0; i < out->batch_count; i++)
-		stamp(out->batch[i], out->seq);
+		note_first_seq(out->batch[i], out->seq);
 	build_records(core, now_us, out->batch, out->batch_count, bit, &msg,
 		      &tasks);
 	msg.seq = out->seq;
@@ -246,7 +254,9 @@
 	core->mem->free(tasks);
 }
 
-static void check_sealed(struct ph_core *core, uint64_t now_us,
+/* If the peer's outbox is empty, it has all records: reports to a member that
+ * state transfer to it is complete as of the present version. */
+static void check_synced(struct ph_core *core, uint64_t now_us,
 			 struct ph_peer *peer)
 {
 	if (peer->out.count || peer->out.batch_count)
@@ -265,13 +275,13 @@
 {
 	struct ph_outbox *out = &peer->out;
 
-	if (out->batch_count && now_us >= out->sent_us + RESEND_US)
+	if (out->batch_count && now_us >= out->sent_us + ACK_TIMEOUT_US)
 		ph_replicate_reset(core, peer);
 	if (out->batch_count || !out->count) {
-		check_sealed(core, now_us, peer);
+		check_synced(core, now_us, peer);
 		return;
 	}
-	if (!out->urgent && now_us < out->oldest_us + LAZY_US)
+	if (!out->urgent && now_us < out->oldest_us + BATCH_DELAY_US)
 		return;
 	send_batch(core, now_us, peer);
 }
@@ -280,14 +290,16 @@
 {
 	size_t i;
 
-	for (i = 0; i < PH_PEERS; i++)
+	for (i = 0; i < PH_MAX_PEERS; i++)
 		if (core->peers[i].used && core->peers[i].life == PH_ALIVE)
 			flush_peer(core, now_us, &core->peers[i]);
 }
 
 /* ## Receiving */
 
-static bool has_own_starts(const struct ph_core *core, const struct ph_job *job)
+/* True if this instance has started a task whose outcome is open. */
+static bool has_local_starts(const struct ph_core *core,
+			     const struct ph_job *job)
 {
 	uint32_t i;
 
@@ -298,6 +310,8 @@
 	return false;
 }
 
+/* Adds an unknown job; NULL if the record lacks the body that a live job needs.
+ */
 static struct ph_job *add_from_record(struct ph_core *core, uint64_t now_us,
 				      const struct ph_record *r)
 {
@@ -316,6 +330,8 @@
 	return job;
 }
 
+/* Takes the answer of a job that another holder has ended, unless this instance
+ * runs tasks of it. */
 static enum ph_merge merge_ended(struct ph_core *core, uint64_t now_us,
 				 struct ph_job *job, const struct ph_record *r)
 {
@@ -323,7 +339,7 @@
 		return PH_MERGE_SAME;
 	if (job->ended)
 		ph_job_reopen(&core->ledger, job);
-	if (has_own_starts(core, job))
+	if (has_local_starts(core, job))
 		return PH_MERGE_CONFLICT;
 	ph_dispatch_unbind(core, now_us, job);
 	if (job->live->enqueued)
@@ -337,16 +353,18 @@
 	return PH_MERGE_CHANGED;
 }
 
+/* Merges the states of the tasks. A sender whose record is not complete as of
+ * the last break of the roster can't be relied on for not-run. */
 static enum ph_merge merge_tasks(struct ph_core *core, struct ph_job *job,
 				 const struct ph_record *r)
 {
-	bool trusted = r->fresh >= core->roster.broken ||
-		       !ph_rule(core, PH_RULE_UNBROKEN);
+	bool sender_complete = r->fresh >= core->roster.broken ||
+			       !ph_rule(core, PH_RULE_CONTINUITY);
 
 	if (job->live->fresh < r->fresh)
 		job->live->fresh = r->fresh;
 	return ph_job_merge(&core->ledger, job, r, core->self.incarnation,
-			    trusted, ph_dispatch_release, core);
+			    sender_complete, ph_dispatch_release_slot, core);
 }
 
 static enum ph_merge merge_record(struct ph_core *core, uint64_t now_us,
@@ -365,7 +383,8 @@
 	return merge_tasks(core, job, r);
 }
 
-/* Applies one record; returns the job if the sender must be corrected. */
+/* Merges one record; returns the job if the sender lacks a start that this
+ * instance knows. */
 static struct ph_job *apply_record(struct ph_core *core, uint64_t now_us,
 				   struct ph_peer *peer,
 				   const struct ph_record *r)
@@ -390,21 +409,24 @@
 	return merge == PH_MERGE_CONFLICT ? job : NULL;
 }
 
-static bool fits_version(const struct ph_core *core, const struct ph_msg *msg)
+/* Records of another roster version may come from a removed member. */
+static bool roster_version_accepted(const struct ph_core *core,
+				    const struct ph_msg *msg)
 {
 	if (!ph_rule(core, PH_RULE_FENCE))
 		return true;
 	return msg->roster_version == core->roster.version;
 }
 
+/* Sends an acknowledgement with the records of jobs in conflict. */
 static void send_ack(struct ph_core *core, uint64_t now_us,
 		     struct ph_peer *peer, struct ph_msg *ack,
-		     struct ph_job *const *wrong, size_t count)
+		     struct ph_job *const *conflicts, size_t count)
 {
 	struct ph_task_record *tasks = NULL;
 
 	if (count)
-		build_records(core, now_us, wrong, count, 0, ack, &tasks);
+		build_records(core, now_us, conflicts, count, 0, ack, &tasks);
 	ph_core_send(core, peer->m.addr, ack);
 	core->mem->free(ack->records);
 	core->mem->free(tasks);
@@ -415,34 +437,37 @@
 {
 	struct ph_peer *peer = ph_peer_by_incarnation(core, msg->incarnation);
 	struct ph_msg ack = { .type = PH_MSG_RECORDS_ACK, .seq = msg->seq };
-	struct ph_job **wrong;
+	struct ph_job **conflicts;
 	size_t count = 0;
 	size_t i;
 
 	if (!peer || peer->life != PH_ALIVE)
 		return;
-	if (!fits_version(core, msg) || ph_membership_self(core) < 0) {
+	if (!roster_version_accepted(core, msg) ||
+	    ph_membership_self(core) < 0) {
 		core->counters.records_refused++;
 		ph_core_send(core, peer->m.addr, &ack);
 		return;
 	}
-	wrong = core->mem->calloc(msg->count, sizeof(struct ph_job *));
+	conflicts = core->mem->calloc(msg->count, sizeof(struct ph_job *));
 	for (i = 0; i < msg->count; i++) {
 		struct ph_job *job =
 			apply_record(core, now_us, peer, &msg->records[i]);
 
 		if (job)
-			wrong[count++] = job;
+			conflicts[count++] = job;
 	}
 	core->counters.conflicts += count;
 	if (!ph_rule(core, PH_RULE_CONFLICT))
 		count = 0;
 	ack.accepted = true;
-	send_ack(core, now_us, peer, &ack, wrong, count);
-	core->mem->free(wrong);
+	send_ack(core, now_us, peer, &ack, conflicts, count);
+	core->mem->free(conflicts);
 	ph_dispatch_pump(core, now_us);
 }
 
+/* Marks the jobs of an acknowledged batch as held by the peer and starts the
+ * tasks that were waiting for that. */
 static void batch_acked(struct ph_core *core, uint64_t now_us,
 			struct ph_peer *peer, uint64_t seq)
 {
@@ -484,5 +509,5 @@
 		apply_record(core, now_us, peer, &msg->records[i]);
 	batch_acked(core, now_us, peer, msg->seq);
 	ph_dispatch_pump(core, now_us);
-	check_sealed(core, now_us, peer);
+	check_synced(core, now_us, peer);
 }
--- a/src/entry_requests.c
+++ b/src/entry_requests.c
@@ -33,7 +33,7 @@
 	ph_core_send(core, waiter->addr, &msg);
 }
 
-void ph_requests_pending(struct ph_core *core, const struct ph_waiter *waiter)
+void ph_requests_answer_pending(struct ph_core *core, const struct ph_waiter *waiter)
 {
 	core->counters.pending_replies++;
 	ph_requests_answer(core, waiter, 503, pending_doc,
@@ -65,11 +65,11 @@
 
 /* ## Held requests */
 
-static struct ph_held *held_new(struct ph_core *core, uint64_t now_us,
+static struct ph_held_request *held_new(struct ph_core *core, uint64_t now_us,
 				const struct ph_waiter *origin, uint32_t hops,
 				const struct ph_request *request)
 {
-	struct ph_held *h = core->mem->calloc(1, sizeof(*h));
+	struct ph_held_request *h = core->mem->calloc(1, sizeof(*h));
 
 	h->origin = *origin;
 	h->since_us = now_us;
@@ -87,7 +87,7 @@
 	return h;
 }
 
-static void held_free(struct ph_core *core, struct ph_held *h)
+static void held_free(struct ph_core *core, struct ph_held_request *h)
 {
 	if (!h)
 		return;
@@ -95,7 +95,7 @@
 	core->mem->free(h);
 }
 
-static void held_append(struct ph_core *core, struct ph_held *h)
+static void held_append(struct ph_core *core, struct ph_held_request *h)
 {
 	h->next = NULL;
 	if (core->held_tail)
@@ -121,7 +121,7 @@
 }
 
 static void relay(struct ph_core *core, uint64_t now_us,
-		  const struct ph_roster_member *target, struct ph_held *h)
+		  const struct ph_roster_member *target, struct ph_held_request *h)
 {
 	struct ph_relay *r = core->mem->calloc(1, sizeof(*r));
 	struct ph_relay **bucket;
@@ -193,7 +193,7 @@
 				held_append(core, r->again);
 				r->again = NULL;
 			} else {
-				ph_requests_pending(core, &r->origin);
+				ph_requests_answer_pending(core, &r->origin);
 			}
 			relay_free(core, r);
 		}
@@ -224,7 +224,7 @@
 
 /* The primary can't be reached: its copy may act for it. */
 static enum route route_to_backup(struct ph_core *core, uint64_t now_us,
-				  const struct ph_held *h,
+				  const struct ph_held_request *h,
 				  const struct ph_peer *primary, int backup,
 				  const struct ph_roster_member **target)
 {
@@ -238,8 +238,8 @@
 		if (dead)
 			return ROUTE_HERE;
 		if (h->request.attempt == 1 ||
-		    !ph_rule(core, PH_RULE_ALONE_FIRST))
-			if (ph_peer_solo(core, primary, now_us))
+		    !ph_rule(core, PH_RULE_SOLO_FIRST_ATTEMPT))
+			if (ph_peer_solo_allowed(core, primary, now_us))
 				return ROUTE_HERE;
 		return ROUTE_HOLD;
 	}
@@ -256,7 +256,7 @@
 }
 
 static enum route route_in_domain(struct ph_core *core, uint64_t now_us,
-				  const struct ph_held *h,
+				  const struct ph_held_request *h,
 				  const struct ph_roster_member **target)
 {
 	char key[PH_KEY_BYTES];
@@ -280,7 +280,7 @@
 }
 
 static enum route route_foreign(struct ph_core *core, const char *domain,
-				const struct ph_held *h,
+				const struct ph_held_request *h,
 				const struct ph_roster_member **target)
 {
 	char key[PH_KEY_BYTES];
@@ -302,10 +302,10 @@
 }
 
 static enum route route(struct ph_core *core, uint64_t now_us,
-			const struct ph_held *h,
+			const struct ph_held_request *h,
 			const struct ph_roster_member **target)
 {
-	const char *domains[PH_FOREIGN_DOMAINS * 4];
+	const char *domains[PH_MAX_FOREIGN_DOMAINS * 4];
 	size_t count = core->config ? core->config->domain_count : 0;
 	size_t i;
 	int home;
@@ -359,13 +359,13 @@
 
 	if (q->attempt == 1 && q->type == PH_REQUEST_SUBMIT)
 		return true;
-	if (!ph_membership_complete(core))
+	if (!ph_membership_all_accounted_for(core))
 		return false;
 	if (other < 0)
 		return true;
 	partner = ph_peer_by_incarnation(
 		core, core->roster.members[other].incarnation);
-	return partner && partner->life != PH_DEAD_LATE;
+	return partner && partner->life != PH_DEAD_UNACCOUNTED;
 }
 
 static uint64_t digest_of(const struct ph_request *q)
@@ -410,7 +410,7 @@
 }
 
 static void submit_new(struct ph_core *core, uint64_t now_us,
-		       const struct ph_held *h)
+		       const struct ph_held_request *h)
 {
 	const struct ph_request *q = &h->request;
 	struct ph_spec *spec = NULL;
@@ -433,7 +433,7 @@
 	job = accept_job(core, now_us, q, spec);
 	ph_job_wait(&core->ledger, job, &h->origin);
 	if (over_limit(core, job)) {
-		ph_dispatch_refuse(core, job);
+		ph_dispatch_mark_not_run(core, job);
 		ph_dispatch_finish(core, now_us, job);
 		return;
 	}
@@ -449,7 +449,7 @@
 }
 
 static void cancel_unknown(struct ph_core *core, uint64_t now_us,
-			   const struct ph_held *h)
+			   const struct ph_held_request *h)
 {
 	char key[PH_KEY_BYTES];
 	struct ph_job *job;
@@ -468,13 +468,13 @@
 			struct ph_job *job)
 {
 	job->cancelled = true;
-	ph_dispatch_refuse(core, job);
+	ph_dispatch_mark_not_run(core, job);
 	if (ph_job_all_final(job))
 		ph_dispatch_finish(core, now_us, job);
 }
 
 static void request_known(struct ph_core *core, uint64_t now_us,
-			  const struct ph_held *h, struct ph_job *job)
+			  const struct ph_held_request *h, struct ph_job *job)
 {
 	const struct ph_request *q = &h->request;
 
@@ -499,12 +499,12 @@
 static bool knew_before(const struct ph_core *core, uint64_t key_hash,
 			uint64_t now_us)
 {
-	return ph_rule(core, PH_RULE_EARLIER_LIVES) &&
+	return ph_rule(core, PH_RULE_EARLIER_INCARNATIONS) &&
 	       ph_ledger_knew(&core->ledger, key_hash, now_us);
 }
 
 /* Serves a request at its home; false if it must wait. */
-static bool serve_here(struct ph_core *core, uint64_t now_us, struct ph_held *h)
+static bool serve_here(struct ph_core *core, uint64_t now_us, struct ph_held_request *h)
 {
 	struct ph_request *q = &h->request;
 	char key[PH_KEY_BYTES];
@@ -524,11 +524,11 @@
 	if (!core->active || core->retiring)
 		return false;
 	if (core->stopping && core->roster.count < 2) {
-		ph_requests_pending(core, &h->origin);
+		ph_requests_answer_pending(core, &h->origin);
 		return true;
 	}
 	if (!may_accept(core, q, ph_hash_str(key))) {
-		ph_requests_pending(core, &h->origin);
+		ph_requests_answer_pending(core, &h->origin);
 		return true;
 	}
 	if (q->type == PH_REQUEST_SUBMIT)
@@ -536,7 +536,7 @@
 	else if (q->type == PH_REQUEST_CANCEL)
 		cancel_unknown(core, now_us, h);
 	else if (q->attempt)
-		ph_requests_pending(core, &h->origin);
+		ph_requests_answer_pending(core, &h->origin);
 	else
 		answer_error(core, &h->origin, 404, "id", "unknown id");
 	return true;
@@ -544,7 +544,7 @@
 
 /* Takes over h; true if it was answered, relayed or accepted. */
 static bool try_request(struct ph_core *core, uint64_t now_us,
-			struct ph_held *h)
+			struct ph_held_request *h)
 {
 	const struct ph_roster_member *target = NULL;
 
@@ -556,7 +556,7 @@
 		return true;
 	case ROUTE_PEER:
 		if (h->hops >= MAX_HOPS) {
-			ph_requests_pending(core, &h->origin);
+			ph_requests_answer_pending(core, &h->origin);
 			held_free(core, h);
 			return true;
 		}
@@ -572,35 +572,35 @@
 			const struct ph_waiter *origin, uint32_t hops,
 			const struct ph_request *request)
 {
-	struct ph_held *h = held_new(core, now_us, origin, hops, request);
+	struct ph_held_request *h = held_new(core, now_us, origin, hops, request);
 
 	core->counters.requests++;
 	if (try_request(core, now_us, h))
 		return;
-	if (core->held_count < PH_MAX_HELD) {
+	if (core->held_count < PH_MAX_HELD_REQUESTS) {
 		held_append(core, h);
 		return;
 	}
-	ph_requests_pending(core, origin);
+	ph_requests_answer_pending(core, origin);
 	held_free(core, h);
 }
 
 void ph_requests_retry(struct ph_core *core, uint64_t now_us)
 {
-	struct ph_held *h = core->held_head;
+	struct ph_held_request *h = core->held_head;
 
 	core->held_head = NULL;
 	core->held_tail = NULL;
 	core->held_count = 0;
 	while (h) {
-		struct ph_held *next = h->next;
+		struct ph_held_request *next = h->next;
 
 		if (try_request(core, now_us, h)) {
 			h = next;
 			continue;
 		}
 		if (now_us >= h->since_us + core->opt.hold_us) {
-			ph_requests_pending(core, &h->origin);
+			ph_requests_answer_pending(core, &h->origin);
 			held_free(core, h);
 		} else {
 			held_append(core, h);
@@ -616,7 +616,7 @@
 
 	ph_core_enter(core, now_us);
 	if (!core->config) {
-		ph_requests_pending(core, &origin);
+		ph_requests_answer_pending(core, &origin);
 		return;
 	}
 	request_new(core, now_us, &origin, 0, request);
@@ -630,11 +630,11 @@
 
 	ph_strcopy(origin.addr, sizeof(origin.addr), msg->addr);
 	if (msg->subject != core->self.incarnation) {
-		ph_requests_pending(core, &origin);
+		ph_requests_answer_pending(core, &origin);
 		return;
 	}
 	if (!core->config) {
-		ph_requests_pending(core, &origin);
+		ph_requests_answer_pending(core, &origin);
 		return;
 	}
 	request_new(core, now_us, &origin, msg->hops, &msg->request);
@@ -657,13 +657,13 @@
 	q.service = live->service;
 	q.id = strchr(job->key, '/') + 1;
 	for (i = 0; i < count; i++) {
-		struct ph_held *h =
+		struct ph_held_request *h =
 			held_new(core, now_us, &live->waiters[i], 0, &q);
 		const struct ph_roster_member *target = NULL;
 
 		if (route(core, now_us, h, &target) == ROUTE_PEER)
 			relay(core, now_us, target, h);
-		else if (core->held_count < PH_MAX_HELD)
+		else if (core->held_count < PH_MAX_HELD_REQUESTS)
 			held_append(core, h);
 		else
 			held_free(core, h);
@@ -678,11 +678,11 @@
 
 void ph_requests_free(struct ph_core *core)
 {
-	struct ph_held *h = core->held_head;
+	struct ph_held_request *h = core->held_head;
 	size_t i;
 
 	while (h) {
-		struct ph_held *next = h->next;
+		struct ph_held_request *next = h->next;
 
 		held_free(core, h);
 		h = next;
--- a/src/roster.c
+++ b/src/roster.c
@@ -180,7 +180,7 @@
 	return true;
 }
 
-void ph_roster_found(struct ph_roster *roster, uint64_t incarnation)
+void ph_roster_clear_lost(struct ph_roster *roster, uint64_t incarnation)
 {
 	size_t i;
 
--- a/test/sim.cc
+++ b/test/sim.cc
@@ -239,7 +239,7 @@
 
 			    if (!to_node.alive) {
 				    w->input(from_id, from_life, [=]() {
-					    ph_core_refused(
+					    ph_core_connection_refused(
 						    w->nodes[from_id]->core,
 						    w->now, dest.c_str());
 				    });
