--- a/src/entry_membership.c
+++ b/src/entry_membership.c
@@ -142,8 +142,9 @@
 	}
 }
 
-/* Starts state transfer for a new roster: unacknowledged batches and every job
- * whose holders lack its newest state are queued. */
+/* Starts state transfer for a new roster: discards the outboxes of non-members
+ * and queues unacknowledged batches and every job whose holders lack its newest
+ * state. */
 static void restart_sync(struct ph_core *core, uint64_t now_us)
 {
 	size_t i;
@@ -431,7 +432,7 @@
 		replace_roster(core);
 }
 
-/* Everything is handed over: continues as a new incarnation with an empty
+/* All records are handed over: continues as a new incarnation with an empty
  * ledger. The ids it held are kept for the retention period, so that they
  * aren't accepted as new if their present holders die. */
 static void rejoin(struct ph_core *core, uint64_t now_us)
