--- a/src/dispatcher.c
+++ b/src/dispatcher.c
@@ -28,6 +28,7 @@
 /* A function to call, a message, or an address that refused a connection. */
 enum mail_type { MAIL_RUN, MAIL_MESSAGE, MAIL_REFUSED };
 
+/* An item for the control thread; which members it uses depends on its type. */
 struct mail {
 	struct ph_mail base;
 	void (*run)(void *arg, uint64_t now_us);
@@ -173,7 +174,7 @@
 	if (now_us >= ph_dispatcher_stop_deadline_us(d))
 		return true;
 	if (owns_any(d) || ph_submitter_count(d->submitter) ||
-	    d->port->open_requests(d->port_ctx))
+	    d->platform->open_requests(d->platform_ctx))
 		d->busy_us = now_us;
 	return now_us >= d->stop_us + d->settings.unready_notice_us &&
 	       now_us >= d->busy_us + PH_DISPATCHER_LINGER_US;
@@ -201,7 +202,7 @@
 	ph_submitter_tick(d->submitter, now_us);
 	ph_dispatcher_resend_results(d, now_us);
 	ph_dispatcher_list_tick(d, now_us);
-	d->port->tick(d->port_ctx, now_us);
+	d->platform->tick(d->platform_ctx, now_us);
 	if (d->heartbeat_all_due || d->heartbeat_domain_due)
 		ph_cluster_heartbeat_soon(
 			d->cluster, d->heartbeat_all_due ? PH_HEARTBEAT_ALL
@@ -316,8 +317,8 @@
 
 int ph_dispatcher_start(const struct ph_mem *mem,
 			const struct ph_dispatcher_settings *settings,
-			const struct ph_dispatcher_port *port, void *port_ctx,
-			struct ph_dispatcher **out)
+			const struct ph_dispatcher_platform *platform,
+			void *platform_ctx, struct ph_dispatcher **out)
 {
 	struct ph_dispatcher *d = mem->calloc(1, sizeof(*d));
 	struct ph_peer_options peer = {
@@ -331,8 +332,8 @@
 
 	d->mem = mem;
 	d->settings = *settings;
-	d->port = port;
-	d->port_ctx = port_ctx;
+	d->platform = platform;
+	d->platform_ctx = platform_ctx;
 	d->incarnation = ph_clock_unix_ms();
 	if (settings->advertise && settings->advertise[0])
 		ph_strcopy(d->addr, sizeof(d->addr), settings->advertise);
--- a/src/dispatcher.h
+++ b/src/dispatcher.h
@@ -16,7 +16,7 @@
 struct ph_dispatcher;
 
 /** Callbacks into the platform's adapter, called on the control thread. */
-struct ph_dispatcher_port {
+struct ph_dispatcher_platform {
 	/** Sends a poll to an executor; ph_dispatcher_poll_done() gets the
 	 * reply. */
 	void (*poll)(void *ctx, const struct ph_poll *poll);
@@ -70,8 +70,8 @@
  * settings are borrowed. Returns PH_ERR_IO if the port cannot be bound. */
 int ph_dispatcher_start(const struct ph_mem *mem,
 			const struct ph_dispatcher_settings *settings,
-			const struct ph_dispatcher_port *port, void *port_ctx,
-			struct ph_dispatcher **dispatcher);
+			const struct ph_dispatcher_platform *platform,
+			void *platform_ctx, struct ph_dispatcher **dispatcher);
 
 /** Starts the control thread. */
 void ph_dispatcher_run(struct ph_dispatcher *dispatcher);
@@ -103,8 +103,8 @@
 void ph_dispatcher_set_parser(struct ph_dispatcher *dispatcher,
 			      ph_dispatcher_parse_fn *parse);
 
-/** True if this instance has to read the platform's list of executors: it reads
- * for its domain, or its copy of the list is too old. */
+/** True if this instance should now read the platform's list of executors: it
+ * reads for its domain, or its copy of the list is too old. */
 bool ph_dispatcher_wants_list(struct ph_dispatcher *dispatcher,
 			      uint64_t now_us);
 /** The list of executors was read; requested_us is when the read was sent. */
--- a/src/dispatcher_executors.c
+++ b/src/dispatcher_executors.c
@@ -3,10 +3,10 @@
  * reach the other instances of the failure domain, and its split over the
  * pools.
  *
- * In a domain with enough instances one reads the list and sends the others
- * what changed. Heartbeats carry a digest of the list. While the reader's
- * digest equals the own one, the own list is as recent as the reader's; an
- * instance whose list gets too old reads it from the platform itself.
+ * In a domain with enough instances, one reads the list and sends the others
+ * what changed. Heartbeats carry a digest of the list. An instance whose digest
+ * matches the reader's knows that its list is as recent as the reader's; one
+ * whose list gets too old reads it from the platform itself.
  */
 
 #include <string.h>
--- a/src/dispatcher_impl.h
+++ b/src/dispatcher_impl.h
@@ -58,8 +58,8 @@
 	struct ph_dispatcher_settings settings;
 	char addr[PH_ADDR_BYTES];
 	uint64_t incarnation;
-	const struct ph_dispatcher_port *port;
-	void *port_ctx;
+	const struct ph_dispatcher_platform *platform;
+	void *platform_ctx;
 	apr_pool_t *apr;
 	apr_thread_t *thread;
 	struct ph_mailbox *box;
@@ -98,6 +98,7 @@
 	/** Last time while stopping that a pool was owned or a job or request
 	 * was open. */
 	uint64_t busy_us;
+	/** Last time that the control thread woke up. */
 	uint64_t last_wakeup_us;
 	uint64_t last_tick_us;
 	/** Time that the system was suspended, as read at the last wake-up. */
--- a/src/dispatcher_jobs.c
+++ b/src/dispatcher_jobs.c
@@ -36,7 +36,7 @@
 
 	d->counters.answers[outcome]++;
 	ph_histogram_add(&d->counters.response[outcome], took_us);
-	d->port->answer(d->port_ctx, token, outcome, retry_after_us);
+	d->platform->answer(d->platform_ctx, token, outcome, retry_after_us);
 }
 
 const struct ph_submitter_sink ph_dispatcher_submitter_sink = {
--- a/src/dispatcher_peers.c
+++ b/src/dispatcher_peers.c
@@ -1,5 +1,5 @@
-/* Messages to and from other instances, results of the own pools' batches, and
- * the exchange of the configuration. */
+/* Messages to and from other instances, results of batches in this instance's
+ * pools, and the exchange of the configuration. */
 
 #include <string.h>
 
@@ -244,8 +244,8 @@
 	ph_pool_submit(p->pool, now_us, msg->name, msg->seq, batch);
 }
 
-/* Creates the shards of the sender's domain that its heartbeat names; its own
- * instances know of a split first. */
+/* Creates the shards of the sender's domain up to the number in its heartbeat.
+ * The instances of a domain are the first to know of new shards. */
 static void update_shards(struct ph_dispatcher *d,
 			  const struct ph_poolmsg *heartbeat)
 {
--- a/src/dispatcher_pools.c
+++ b/src/dispatcher_pools.c
@@ -14,21 +14,21 @@
 {
 	struct ph_dispatcher *d = ctx;
 
-	d->port->poll(d->port_ctx, poll);
+	d->platform->poll(d->platform_ctx, poll);
 }
 
 static void sink_start(void *ctx, const struct ph_run_command *command)
 {
 	struct ph_dispatcher *d = ctx;
 
-	d->port->start(d->port_ctx, command);
+	d->platform->start(d->platform_ctx, command);
 }
 
 static void sink_stop(void *ctx, const struct ph_run_command *command)
 {
 	struct ph_dispatcher *d = ctx;
 
-	d->port->stop(d->port_ctx, command);
+	d->platform->stop(d->platform_ctx, command);
 }
 
 static const struct ph_pool_sink pool_sink = {
--- a/src/submitter.c
+++ b/src/submitter.c
@@ -39,14 +39,16 @@
 /* Retry-after sent to callers that a stopping instance refuses. */
 #define STOPPING_RETRY_AFTER_US 1000000U
 /* How long a cancellation is sent again without an acknowledgement: as long as
- * callers surely wait before they submit the job again. The new submission must
- * not meet runs of the cancelled one. */
+ * a caller waits at least before it submits the job again. The new submission
+ * must not meet runs of the cancelled one. */
 #define CANCEL_RESEND_FOR_US 1300000U
 
 /* A job whose caller waits for the answer. */
 struct job {
 	struct job *next;
+	/** Names the caller's request. */
 	uint64_t token;
+	/** Sequence number of the batch; a resumed one gets a new one. */
 	uint64_t seq;
 	struct ph_batch_request *batch;
 	uint64_t arrived_us;
@@ -56,11 +58,11 @@
 	uint64_t sent_us;
 	uint64_t first_sent_us;
 	bool accepted;
-	/** When the owner was lost or moved the batch; 0: it is alive. */
+	/** When the owner died or lost the pool; 0: it still owns it. */
 	uint64_t owner_lost_us;
 	/** During start-up: no pool has an owner yet. */
 	bool waiting_for_first_owner;
-	/** The last owner has lost the pool; there is no new owner yet. */
+	/** The last owner has returned the batch; there is no new one yet. */
 	bool waiting_for_owner;
 	uint32_t pools_tried;
 	/** Indices of the pools that the job was sent to. */
@@ -70,8 +72,8 @@
 };
 
 /** A cancellation that the owner of the batch has not acknowledged. */
-struct cancel {
-	struct cancel *next;
+struct cancellation {
+	struct cancellation *next;
 	struct ph_owner owner;
 	uint64_t seq;
 	uint64_t created_us;
@@ -83,13 +85,14 @@
 	struct ph_submitter_options opt;
 	uint64_t last_seq;
 	struct job *jobs;
-	struct cancel *cancellations;
+	struct cancellation *cancellations;
 	/** When this process exits at the latest; 0: it is not stopping. */
 	uint64_t end_us;
 	/** What this instance sent to each pool since its owner's last
 	 * heartbeat, by index of the pool. */
 	struct sent {
 		char pool[PH_NAME_BYTES];
+		/** When that heartbeat arrived. */
 		uint64_t heard_us;
 		/** Millicores x microseconds. */
 		uint64_t sent_milli_us;
@@ -131,7 +134,7 @@
 	while (s->jobs)
 		job_free(s, s->jobs);
 	while (s->cancellations) {
-		struct cancel *c = s->cancellations;
+		struct cancellation *c = s->cancellations;
 
 		s->cancellations = c->next;
 		s->mem->free(c);
@@ -203,9 +206,9 @@
 	       c->capacity_milli / MIN_WEIGHT_DIVISOR + 1;
 }
 
-/* True if a pool may be as good as the best one: both are in the own domain or
- * both in others, and their waits are so close that the order may have changed
- * since the loads were reported. */
+/* True if a pool may be as good as the best one: both are in this
+ * instance's domain or both in others, and their waits are so close that the
+ * order may have changed since the loads were reported. */
 static bool comparable(const struct ph_pool_candidate *c,
 		       const struct ph_pool_candidate *best)
 {
@@ -213,6 +216,8 @@
 	       c->wait_us <= 2 * best->wait_us + COMPARABLE_WAIT_US;
 }
 
+/* Chooses at random, weighted by capacity, among the pools that are comparable
+ * to the best one. */
 static size_t pick_spread(const struct ph_pool_candidate *list, size_t count,
 			  uint64_t key)
 {
@@ -369,7 +374,7 @@
 	s->opt.sink->send(s->opt.ctx, &j->owner, &m);
 }
 
-static void send_cancellation(struct ph_submitter *s, struct cancel *c,
+static void send_cancellation(struct ph_submitter *s, struct cancellation *c,
 			      uint64_t now_us)
 {
 	struct ph_poolmsg m = { .type = PH_POOLMSG_CANCEL, .seq = c->seq };
@@ -381,7 +386,7 @@
 /* Cancels a job's batch at its owner until the owner acknowledges that. */
 static void cancel(struct ph_submitter *s, const struct job *j, uint64_t now_us)
 {
-	struct cancel *c = s->mem->calloc(1, sizeof(*c));
+	struct cancellation *c = s->mem->calloc(1, sizeof(*c));
 
 	c->owner = j->owner;
 	c->seq = j->seq;
@@ -393,10 +398,10 @@
 
 static void resend_cancellations(struct ph_submitter *s, uint64_t now_us)
 {
-	struct cancel **at = &s->cancellations;
+	struct cancellation **at = &s->cancellations;
 
 	while (*at) {
-		struct cancel *c = *at;
+		struct cancellation *c = *at;
 
 		if (now_us > c->created_us + CANCEL_RESEND_FOR_US) {
 			*at = c->next;
@@ -411,8 +416,8 @@
 
 void ph_submitter_cancelled(struct ph_submitter *s, uint64_t seq)
 {
-	struct cancel **at = &s->cancellations;
-	struct cancel *c;
+	struct cancellation **at = &s->cancellations;
+	struct cancellation *c;
 
 	while (*at && (*at)->seq != seq)
 		at = &(*at)->next;
@@ -423,6 +428,8 @@
 	s->mem->free(c);
 }
 
+/* Sends a batch under a new sequence number, and notes when it was sent on the
+ * clock of its owner. */
 static void send_first(struct ph_submitter *s, struct job *j, uint64_t now_us)
 {
 	j->seq = ++s->last_seq;
@@ -457,9 +464,9 @@
 	job_free(s, j);
 }
 
-/* Sends a job none of whose tasks has run to a pool. Answers not run if there
- * is no pool left, or if another would run it too late; during start-up it
- * waits for the first owner. */
+/* Sends a job to a pool; none of its tasks has run yet. Answers "not run" if no
+ * pool is left, or if another one would run it too late. During start-up the
+ * job waits for the first owner of a pool instead. */
 static void dispatch(struct ph_submitter *s, struct job *j, uint64_t now_us)
 {
 	uint32_t i = 0;
@@ -632,7 +639,7 @@
 /* ## Time */
 
 /* Resumes a batch at the pool's new owner, which claims the orphaned runs of
- * the job. Answers unknown if there is no new owner in time. */
+ * the job. Answers "unknown" if there is no new owner in time. */
 static void resume_at_new_owner(struct ph_submitter *s, struct job *j,
 				uint64_t now_us)
 {
--- a/src/submitter.h
+++ b/src/submitter.h
@@ -66,8 +66,8 @@
 /** Always the pool with the shortest expected wait. Between two heartbeats all
  * instances know the same loads and so choose the same pool. */
 extern const struct ph_pool_choice_policy ph_pool_choice_wait;
-/** The baseline for comparison: a pool of the own domain, whatever its load, as
- * long as one has an owner. */
+/** The baseline for comparison: a pool of the instance's own domain, whatever
+ * its load, as long as one has an owner. */
 extern const struct ph_pool_choice_policy ph_pool_choice_none;
 /** All policies, ending with NULL. */
 extern const struct ph_pool_choice_policy *const ph_pool_choice_policies[];
