--- a/bench/cluster_bench.c
+++ b/bench/cluster_bench.c
@@ -117,13 +117,13 @@
 		struct ph_poolmsg m;
 
 		hello_of(i, peers, pools_of(peers), &m);
-		ph_cluster_set_domains(w->members, &m.claims[0].domain, 1);
+		ph_cluster_add_pools(w->members, &m.claims[0].domain, 1);
 	}
 	for (i = 0; i < peers; i++) {
 		struct ph_poolmsg m;
 
 		hello_of(i, peers, pools_of(peers), &m);
-		ph_cluster_contact(w->members, m.addr);
+		ph_cluster_add_contact(w->members, m.addr);
 	}
 }
 
@@ -149,7 +149,7 @@
 			hello_of(i, peers, pools, &m);
 			if (now_us % m.interval_us)
 				continue;
-			ph_cluster_heard(w.members, now_us, &m);
+			ph_cluster_heartbeat_received(w.members, now_us, &m);
 			heard++;
 		}
 		heard_ns += cpu_ns() - t0;
@@ -165,7 +165,7 @@
 		struct ph_owner o;
 
 		ph_cluster_owner(w.members, now_us,
-				 ph_cluster_domain(w.members, i % pools), &o);
+				 ph_cluster_pool_name(w.members, i % pools), &o);
 	}
 	find_ns = cpu_ns() - find_ns;
 	printf("%6u %6u %14.1f %14.1f %14.1f %12" PRIu64 "\n", peers, pools,
--- a/src/cluster.c
+++ b/src/cluster.c
@@ -4,313 +4,330 @@
 #include "log.h"
 #include "cluster_impl.h"
 
-#define PART "members"
-/* Instances of a domain from which on one reads the list of executors for all:
- * below, reading it costs less than a reader's loss. */
-#define READER_FROM 4U
-/* Twice the number of missed heartbeats that make a peer suspect. */
-#define SUSPECT_BEATS_X2 7U
-#define FORGET_US 60000000U
+#define PART "cluster"
+/* Number of instances in a failure domain from which on one of them reads the
+ * list of executors for the rest. With fewer, the reads saved are worth less
+ * than the delay when the reader fails. */
+#define LIST_READER_MIN_INSTANCES 4U
+/* Heartbeat intervals without a heartbeat after which a peer is suspected, in
+ * halves: 7 stand for 3.5 intervals. */
+#define SUSPECT_INTERVALS_X2 7U
+/* A member is removed this long after its last heartbeat. */
+#define MEMBER_REMOVE_AFTER_US 60000000U
 
 struct ph_cluster *ph_cluster_new(const struct ph_cluster_options *options)
 {
-	struct ph_cluster *ms = options->mem->calloc(1, sizeof(*ms));
+	struct ph_cluster *cluster = options->mem->calloc(1, sizeof(*cluster));
 
-	ms->mem = options->mem;
-	ms->opt = *options;
-	return ms;
+	cluster->mem = options->mem;
+	cluster->opt = *options;
+	return cluster;
 }
 
-void ph_cluster_free(struct ph_cluster *ms)
+void ph_cluster_free(struct ph_cluster *cluster)
 {
-	if (!ms)
+	if (!cluster)
 		return;
-	while (ms->first) {
-		struct ph_member *m = ms->first;
+	while (cluster->first) {
+		struct ph_member *m = cluster->first;
 
-		ms->first = m->next;
-		ms->mem->free(m);
+		cluster->first = m->next;
+		cluster->mem->free(m);
 	}
-	ms->mem->free(ms->contacts);
-	ms->mem->free(ms->pools);
-	ms->mem->free(ms->by_name);
-	ms->mem->free(ms);
+	cluster->mem->free(cluster->contacts);
+	cluster->mem->free(cluster->pools);
+	cluster->mem->free(cluster->by_name);
+	cluster->mem->free(cluster);
 }
 
-const struct ph_member *ph_cluster_first(const struct ph_cluster *ms)
+const struct ph_member *
+ph_cluster_first_member(const struct ph_cluster *cluster)
 {
-	return ms->first;
+	return cluster->first;
 }
 
-const char *ph_cluster_domain(const struct ph_cluster *ms, size_t i)
+const char *ph_cluster_pool_name(const struct ph_cluster *cluster, size_t i)
 {
-	return i < ms->pool_count ? ms->pools[i].name : NULL;
+	return i < cluster->pool_count ? cluster->pools[i].name : NULL;
 }
 
-void ph_cluster_contact(struct ph_cluster *ms, const char *addr)
+void ph_cluster_add_contact(struct ph_cluster *cluster, const char *addr)
 {
 	size_t i;
 
-	if (!strcmp(addr, ms->opt.addr))
+	if (!strcmp(addr, cluster->opt.addr))
 		return;
-	for (i = 0; i < ms->contact_count; i++)
-		if (!strcmp(ms->contacts[i].addr, addr))
+	for (i = 0; i < cluster->contact_count; i++)
+		if (!strcmp(cluster->contacts[i].addr, addr))
 			return;
-	ms->contacts = ph_array_grow(ms->mem, ms->contacts, ms->contact_count,
-				     sizeof(*ms->contacts));
-	ph_strcopy(ms->contacts[ms->contact_count++].addr, PH_ADDR_BYTES, addr);
+	cluster->contacts = ph_array_grow(cluster->mem, cluster->contacts,
+					  cluster->contact_count,
+					  sizeof(*cluster->contacts));
+	ph_strcopy(cluster->contacts[cluster->contact_count++].addr,
+		   PH_ADDR_BYTES, addr);
 }
 
-/* ## Who lives */
+/* ## Members and failure detection */
 
-struct ph_member *ph_member_find(const struct ph_cluster *ms, const char *name)
+struct ph_member *ph_member_find(const struct ph_cluster *cluster,
+				 const char *name)
 {
 	uint64_t hash = ph_hash_str(name);
 	struct ph_member *m;
 
-	for (m = ms->first; m; m = m->next)
+	for (m = cluster->first; m; m = m->next)
 		if (m->name_hash == hash && !strcmp(m->name, name))
 			return m;
 	return NULL;
 }
 
-/* Silence after which a peer counts as dead. */
-static uint64_t patience_us(const struct ph_cluster *ms,
-			    const struct ph_member *m)
+/* Time without heartbeats after which a peer is suspected to have failed. */
+static uint64_t suspect_after_us(const struct ph_cluster *cluster,
+				 const struct ph_member *m)
 {
-	uint64_t beats_us = SUSPECT_BEATS_X2 * m->interval_us / 2;
+	uint64_t intervals_us = SUSPECT_INTERVALS_X2 * m->interval_us / 2;
 
-	return beats_us > ms->opt.suspect_us ? beats_us : ms->opt.suspect_us;
+	return intervals_us > cluster->opt.suspect_us ? intervals_us
+						      : cluster->opt.suspect_us;
 }
 
-bool ph_member_live(const struct ph_cluster *ms, const struct ph_member *m,
-		    uint64_t now_us)
+bool ph_member_alive(const struct ph_cluster *cluster,
+		     const struct ph_member *m, uint64_t now_us)
 {
-	return m->heard_us && now_us < m->heard_us + patience_us(ms, m);
+	return m->heard_us &&
+	       now_us < m->heard_us + suspect_after_us(cluster, m);
 }
 
-bool ph_cluster_owner_lives(const struct ph_cluster *ms, uint64_t now_us,
+bool ph_cluster_owner_alive(const struct ph_cluster *cluster, uint64_t now_us,
 			    const struct ph_owner *owner)
 {
-	const struct ph_member *m = ph_member_find(ms, owner->name);
+	const struct ph_member *m = ph_member_find(cluster, owner->name);
 
-	if (!strcmp(owner->name, ms->opt.name))
+	if (!strcmp(owner->name, cluster->opt.name))
 		return true;
 	return m && m->incarnation == owner->incarnation &&
-	       ph_member_live(ms, m, now_us);
+	       ph_member_alive(cluster, m, now_us);
 }
 
-bool ph_cluster_minority(const struct ph_cluster *ms, uint64_t now_us)
+bool ph_cluster_minority(const struct ph_cluster *cluster, uint64_t now_us)
 {
 	const struct ph_member *m;
 	size_t known = 1;
-	size_t heard = 1;
-
-	for (m = ms->first; m; m = m->next) {
-		/* One that is heard rarely says nothing of a cut in time. */
-		if (m->leaving || now_us > m->heard_us + PH_KNOWN_US ||
-		    m->interval_us > PH_FAR_FACTOR * ms->opt.heartbeat_us)
+	size_t alive = 1;
+
+	for (m = cluster->first; m; m = m->next) {
+		/* A peer with a long heartbeat interval would show a network
+		 * partition too late, so it is not counted. */
+		if (m->leaving || now_us > m->heard_us + PH_MEMBER_KNOWN_US ||
+		    m->interval_us >
+			    PH_IDLE_INTERVAL_FACTOR * cluster->opt.heartbeat_us)
 			continue;
 		known++;
-		heard += ph_member_live(ms, m, now_us);
+		alive += ph_member_alive(cluster, m, now_us);
 	}
-	return heard * 2 < known;
+	return alive * 2 < known;
 }
 
-static void list_owners(struct ph_cluster *ms)
+static void list_owners(struct ph_cluster *cluster)
 {
 	struct ph_member *m;
 
-	ms->first_owner = NULL;
-	for (m = ms->first; m; m = m->next) {
+	cluster->first_owner = NULL;
+	for (m = cluster->first; m; m = m->next) {
 		if (!m->claim_count)
 			continue;
-		m->next_owner = ms->first_owner;
-		ms->first_owner = m;
+		m->next_owner = cluster->first_owner;
+		cluster->first_owner = m;
 	}
 }
 
-const struct ph_member *ph_cluster_heard(struct ph_cluster *ms, uint64_t now_us,
-					 const struct ph_poolmsg *hello)
+const struct ph_member *
+ph_cluster_heartbeat_received(struct ph_cluster *cluster, uint64_t now_us,
+			      const struct ph_poolmsg *heartbeat)
 {
-	struct ph_member *m = ph_member_find(ms, hello->name);
-	bool owner_before;
-	bool same;
+	struct ph_member *m = ph_member_find(cluster, heartbeat->name);
+	bool had_claims;
+	bool unchanged;
 
-	if (!strcmp(hello->name, ms->opt.name))
+	if (!strcmp(heartbeat->name, cluster->opt.name))
 		return NULL;
-	/* A frame of an earlier life that was under way. */
-	if (m && hello->incarnation < m->incarnation &&
-	    ph_member_live(ms, m, now_us))
+	/* A delayed heartbeat of an earlier incarnation. */
+	if (m && heartbeat->incarnation < m->incarnation &&
+	    ph_member_alive(cluster, m, now_us))
 		return NULL;
 	if (!m) {
-		m = ms->mem->calloc(1, sizeof(*m));
-		ph_strcopy(m->name, sizeof(m->name), hello->name);
+		m = cluster->mem->calloc(1, sizeof(*m));
+		ph_strcopy(m->name, sizeof(m->name), heartbeat->name);
 		m->name_hash = ph_hash_str(m->name);
 		m->link_reset_us = now_us;
-		m->next = ms->first;
-		ms->first = m;
-		ms->member_count++;
+		m->next = cluster->first;
+		cluster->first = m;
+		cluster->member_count++;
 	}
-	if (m->incarnation != hello->incarnation ||
-	    !ph_member_live(ms, m, now_us)) {
-		m->relink = true;
+	if (m->incarnation != heartbeat->incarnation ||
+	    !ph_member_alive(cluster, m, now_us)) {
+		m->reconnect_due = true;
 		m->sent_us = 0;
-		ms->indexed = false;
+		cluster->claims_indexed = false;
 		ph_event(PART,
-			 "event=member_heard member=%s incarnation=%llu "
+			 "event=member_alive member=%s incarnation=%llu "
 			 "silent_us=%llu",
-			 m->name, (unsigned long long)hello->incarnation,
+			 m->name, (unsigned long long)heartbeat->incarnation,
 			 m->heard_us
 				 ? (unsigned long long)(now_us - m->heard_us)
 				 : 0);
 	}
-	if (m->incarnation && m->incarnation != hello->incarnation && !m->lost)
+	if (m->incarnation && m->incarnation != heartbeat->incarnation &&
+	    !m->loss_reported)
 		m->restarted = true;
-	m->lost = false;
-	m->incarnation = hello->incarnation;
-	ph_strcopy(m->domain, sizeof(m->domain), hello->domain);
-	ph_strcopy(m->addr, sizeof(m->addr), hello->addr);
+	m->loss_reported = false;
+	m->incarnation = heartbeat->incarnation;
+	ph_strcopy(m->domain, sizeof(m->domain), heartbeat->domain);
+	ph_strcopy(m->addr, sizeof(m->addr), heartbeat->addr);
 	m->heard_us = now_us;
-	m->dead = false;
-	m->heard_me_ago_us = hello->heard_ago_us;
-	m->interval_us = hello->interval_us;
-	m->clock_us = hello->clock_us;
-	m->cpu_milli = hello->cpu_milli ? hello->cpu_milli : 1;
-	m->config_version = hello->config_version;
-	m->list_digest = hello->list_digest;
-	m->list_read_us =
-		hello->list_age_us < now_us ? now_us - hello->list_age_us : 0;
-	owner_before = m->claim_count;
-	same = ph_claims_same(m, hello);
-	m->leaving = hello->leaving;
-	m->claim_count = hello->claim_count;
-	memcpy(m->claims, hello->claims,
-	       hello->claim_count * sizeof(m->claims[0]));
-	if (!same) {
-		ph_claims_resolve(ms, m);
-		ms->indexed = false;
+	m->connection_refused = false;
+	m->heard_self_ago_us = heartbeat->heard_ago_us;
+	m->interval_us = heartbeat->interval_us;
+	m->clock_us = heartbeat->clock_us;
+	m->cpu_milli = heartbeat->cpu_milli ? heartbeat->cpu_milli : 1;
+	m->config_version = heartbeat->config_version;
+	m->list_digest = heartbeat->list_digest;
+	m->list_read_us = heartbeat->list_age_us < now_us
+				  ? now_us - heartbeat->list_age_us
+				  : 0;
+	had_claims = m->claim_count;
+	unchanged = ph_claims_unchanged(m, heartbeat);
+	m->leaving = heartbeat->leaving;
+	m->claim_count = heartbeat->claim_count;
+	memcpy(m->claims, heartbeat->claims,
+	       heartbeat->claim_count * sizeof(m->claims[0]));
+	if (!unchanged) {
+		ph_claims_resolve(cluster, m);
+		cluster->claims_indexed = false;
 	}
-	if (owner_before != (m->claim_count > 0))
-		list_owners(ms);
+	if (had_claims != (m->claim_count > 0))
+		list_owners(cluster);
 	return m;
 }
 
-/* Makes a peer count as silent from now on. */
-static void silence(const struct ph_cluster *ms, struct ph_member *m,
-		    uint64_t now_us)
+/* Makes ph_member_alive() false for a peer until its next heartbeat. */
+static void mark_silent(const struct ph_cluster *cluster, struct ph_member *m,
+			uint64_t now_us)
 {
-	uint64_t ago_us = patience_us(ms, m);
+	uint64_t ago_us = suspect_after_us(cluster, m);
 
 	m->heard_us = now_us > ago_us ? now_us - ago_us : 1;
 }
 
-void ph_cluster_refused(struct ph_cluster *ms, uint64_t now_us,
-			const char *addr)
+void ph_cluster_connection_refused(struct ph_cluster *cluster, uint64_t now_us,
+				   const char *addr)
 {
 	struct ph_member *m;
 
-	for (m = ms->first; m; m = m->next) {
+	for (m = cluster->first; m; m = m->next) {
 		if (strcmp(m->addr, addr) != 0)
 			continue;
-		m->dead = true;
-		if (ph_member_live(ms, m, now_us))
-			silence(ms, m, now_us);
-		ms->indexed = false;
+		m->connection_refused = true;
+		if (ph_member_alive(cluster, m, now_us))
+			mark_silent(cluster, m, now_us);
+		cluster->claims_indexed = false;
 	}
 }
 
-static void forget(struct ph_cluster *ms, uint64_t now_us)
+static void remove_expired(struct ph_cluster *cluster, uint64_t now_us)
 {
-	struct ph_member **at = &ms->first;
+	struct ph_member **at = &cluster->first;
 
 	while (*at) {
 		struct ph_member *m = *at;
 
-		if (now_us < m->heard_us + FORGET_US) {
+		if (now_us < m->heard_us + MEMBER_REMOVE_AFTER_US) {
 			at = &m->next;
 			continue;
 		}
 		*at = m->next;
-		ms->mem->free(m);
-		ms->member_count--;
-		list_owners(ms);
+		cluster->mem->free(m);
+		cluster->member_count--;
+		list_owners(cluster);
 	}
 }
 
-/* ## The own domain */
+/* ## Peers of the own failure domain */
 
-const struct ph_member *ph_cluster_near(const struct ph_cluster *ms,
-					const struct ph_member *after,
-					uint64_t now_us)
+const struct ph_member *
+ph_cluster_next_in_domain(const struct ph_cluster *cluster,
+			  const struct ph_member *after, uint64_t now_us)
 {
-	const struct ph_member *m = after ? after->next : ms->first;
+	const struct ph_member *m = after ? after->next : cluster->first;
 
 	for (; m; m = m->next)
-		if (ph_member_live(ms, m, now_us) &&
-		    !strcmp(m->domain, ms->opt.domain))
+		if (ph_member_alive(cluster, m, now_us) &&
+		    !strcmp(m->domain, cluster->opt.domain))
 			return m;
 	return NULL;
 }
 
-/* The one with the most processor, then the first by name. */
-static bool reads_before(uint32_t cpu_a, const char *name_a, uint32_t cpu_b,
-			 const char *name_b)
+/* Whether instance a takes precedence over b as reader of the list: the one
+ * with more CPU, then the one whose name sorts first. */
+static bool preferred_reader(uint32_t cpu_a, const char *name_a, uint32_t cpu_b,
+			     const char *name_b)
 {
 	return cpu_a != cpu_b ? cpu_a > cpu_b : strcmp(name_a, name_b) < 0;
 }
 
-bool ph_cluster_reader(const struct ph_cluster *ms, uint64_t now_us,
-		       const struct ph_member **reader)
+bool ph_cluster_list_reader(const struct ph_cluster *cluster, uint64_t now_us,
+			    const struct ph_member **reader)
 {
 	const struct ph_member *best = NULL;
 	const struct ph_member *m = NULL;
-	uint32_t near = 1;
+	uint32_t in_domain = 1;
 
 	*reader = NULL;
-	while ((m = ph_cluster_near(ms, m, now_us))) {
-		near++;
+	while ((m = ph_cluster_next_in_domain(cluster, m, now_us))) {
+		in_domain++;
 		if (!m->leaving &&
-		    (!best || reads_before(m->cpu_milli, m->name,
-					   best->cpu_milli, best->name)))
+		    (!best || preferred_reader(m->cpu_milli, m->name,
+					       best->cpu_milli, best->name)))
 			best = m;
 	}
-	if (near < READER_FROM || !best ||
-	    (!ms->leaving && reads_before(ms->opt.cpu_milli, ms->opt.name,
-					  best->cpu_milli, best->name)))
+	if (in_domain < LIST_READER_MIN_INSTANCES || !best ||
+	    (!cluster->leaving &&
+	     preferred_reader(cluster->opt.cpu_milli, cluster->opt.name,
+			      best->cpu_milli, best->name)))
 		return false;
 	*reader = best;
 	return true;
 }
 
-/* ## Life */
+/* ## State changes and ticks */
 
-void ph_cluster_leave(struct ph_cluster *ms)
+void ph_cluster_leave(struct ph_cluster *cluster)
 {
-	ms->leaving = true;
+	cluster->leaving = true;
 }
 
-void ph_cluster_paused(struct ph_cluster *ms, uint64_t now_us,
+void ph_cluster_paused(struct ph_cluster *cluster, uint64_t now_us,
 		       const struct ph_cluster_sink *sink, void *ctx)
 {
 	struct ph_member *m;
 	size_t i;
 
-	for (m = ms->first; m; m = m->next)
-		if (m->heard_us && now_us < m->heard_us + PH_KNOWN_US)
-			silence(ms, m, now_us);
-	for (i = 0; i < ms->pool_count; i++)
-		if (ms->pools[i].owned)
-			ph_claim_release(&ms->pools[i], sink, ctx);
-	ms->opt.start_us = now_us;
-	ms->indexed = false;
+	for (m = cluster->first; m; m = m->next)
+		if (m->heard_us && now_us < m->heard_us + PH_MEMBER_KNOWN_US)
+			mark_silent(cluster, m, now_us);
+	for (i = 0; i < cluster->pool_count; i++)
+		if (cluster->pools[i].owned)
+			ph_claim_release(&cluster->pools[i], sink, ctx);
+	cluster->opt.start_us = now_us;
+	cluster->claims_indexed = false;
 }
 
-void ph_cluster_tick(struct ph_cluster *ms, uint64_t now_us, uint64_t unix_ms,
-		     const struct ph_cluster_sink *sink, void *ctx)
+void ph_cluster_tick(struct ph_cluster *cluster, uint64_t now_us,
+		     uint64_t unix_ms, const struct ph_cluster_sink *sink,
+		     void *ctx)
 {
-	ph_beats_watch(ms, now_us, sink, ctx);
-	ph_claims_tick(ms, now_us, unix_ms, sink, ctx);
-	ph_beats_send(ms, now_us, sink, ctx);
-	forget(ms, now_us);
+	ph_heartbeat_check_peers(cluster, now_us, sink, ctx);
+	ph_claims_tick(cluster, now_us, unix_ms, sink, ctx);
+	ph_heartbeat_send_due(cluster, now_us, sink, ctx);
+	remove_expired(cluster, now_us);
 }
--- a/src/cluster.h
+++ b/src/cluster.h
@@ -2,9 +2,10 @@
 #define PH_CLUSTER_H
 
 /*
- * The entry instances that live, by their heartbeats, and which of them owns
- * which failure domain's pool. An owner keeps its pool until it leaves, dies
- * or is outranked; a domain without instances is adopted by others.
+ * Cluster membership of the instances, detected by heartbeats, and ownership
+ * of the executor pools. An instance owns a pool until it leaves, fails or a
+ * better claim of another instance prevails. Pools of a failure domain that
+ * has no instances are taken over by instances of other domains.
  */
 
 #include "poolmsg.h"
@@ -15,168 +16,213 @@
 	const struct ph_mem *mem;
 	const char *name;
 	const char *domain;
-	/** "ip:port" for peers. */
+	/** "ip:port" at which peers connect to this instance. */
 	const char *addr;
-	/** Start of this process, Unix milliseconds. */
+	/** Start time of this process, Unix milliseconds. */
 	uint64_t incarnation;
+	/** Shortest heartbeat interval. */
 	uint64_t heartbeat_us;
-	/** Silence after which a peer counts as dead. */
+	/** Least time without heartbeats after which a peer is suspected. */
 	uint64_t suspect_us;
+	/** Monotonic start time; claims wait for a delay after it. */
 	uint64_t start_us;
-	/** Share of a core that this instance may use, in thousandths. */
+	/** CPU that this instance may use, in thousandths of a core. */
 	uint32_t cpu_milli;
 };
 
+/** A peer of which at least one heartbeat has been received. */
 struct ph_member {
 	struct ph_member *next;
-	/** Next one that claims a pool. */
+	/** Next peer that claims at least one pool. */
 	struct ph_member *next_owner;
 	uint64_t name_hash;
 	char name[PH_NAME_BYTES];
 	char domain[PH_NAME_BYTES];
 	char addr[PH_ADDR_BYTES];
 	uint64_t incarnation;
+	/** When its last heartbeat was received; set back if it fails. */
 	uint64_t heard_us;
+	/** When the last heartbeat was sent to it; 0: one is due. */
 	uint64_t sent_us;
-	/** Distance of this instance's heartbeats to it, and since when. */
-	uint64_t every_us;
-	uint64_t every_since_us;
-	/** As the peer says, how long ago it last heard this instance. */
-	uint64_t heard_me_ago_us;
+	/** Interval of the heartbeats sent to it, and since when it applies. */
+	uint64_t send_interval_us;
+	uint64_t send_interval_since_us;
+	/** Time since the peer received a heartbeat of this instance, as of the
+	 * peer's last heartbeat; UINT64_MAX: never. */
+	uint64_t heard_self_ago_us;
 	uint64_t link_reset_us;
-	/** It is back: a link that was opened before may hang. */
-	bool relink;
-	/** Distance of its heartbeats to this instance, as it says. */
+	/** The peer is back after a restart or silence; the connection opened
+	 * before may be dead and has to be reset. */
+	bool reconnect_due;
+	/** Interval of the peer's heartbeats to this instance. */
 	uint64_t interval_us;
-	/** Its steady clock when it was heard. */
+	/** The peer's monotonic clock when it sent its last heartbeat. */
 	uint64_t clock_us;
 	uint32_t cpu_milli;
 	bool leaving;
-	/** Nothing listened at its address since it was heard last. */
-	bool dead;
-	/** Reported lost already. */
-	bool lost;
-	/** Another life has answered: the one before is to be reported lost. */
+	/** A connection was refused since the last heartbeat received. */
+	bool connection_refused;
+	/** The sink's lost() has been called for this outage. */
+	bool loss_reported;
+	/** A new incarnation was heard before the loss of the earlier one was
+	 * reported; the next tick reports it. */
 	bool restarted;
 	uint64_t config_version;
-	/** Its list of executors, and when that was read, on this clock. */
+	/** Digest of the peer's list of executors, and when that list was read,
+	 * by the local monotonic clock. */
 	uint64_t list_digest;
 	uint64_t list_read_us;
 	uint32_t claim_count;
 	struct ph_claim claims[PH_CLAIMS_MAX];
-	/** Index of each claimed pool; UINT32_MAX: not known here. */
-	uint32_t claimed[PH_CLAIMS_MAX];
+	/** Index of the pool of each claim; UINT32_MAX: unknown pool. */
+	uint32_t claimed_pool[PH_CLAIMS_MAX];
 };
 
 enum ph_heartbeat_scope {
-	/** A pool changed hands: everyone has to know. */
+	/** All peers, as after a change of a pool's owner. */
 	PH_HEARTBEAT_ALL,
-	/** Among many, those of the own domain: they pass it on. */
+	/** In a large cluster only the peers of the own failure domain; all
+	 * peers in a small one. */
 	PH_HEARTBEAT_DOMAIN,
 };
 
-/** The next tick greets them: something changed. */
-void ph_cluster_heartbeat_soon(struct ph_cluster *members,
-			       enum ph_heartbeat_scope whom);
+/** Makes heartbeats to these peers due at the next tick. */
+void ph_cluster_heartbeat_soon(struct ph_cluster *cluster,
+			       enum ph_heartbeat_scope scope);
 
 /**
- * The instance of the own domain that reads the platform's list of executors
- * for all of it. False if there are too few for that, or it is this one.
+ * Finds the peer that reads the platform's list of executors on behalf of the
+ * own failure domain. Returns false if this instance reads the list itself:
+ * the domain has few instances, or this is the one that reads it for the rest.
  */
-bool ph_cluster_reader(const struct ph_cluster *members, uint64_t now_us,
-		       const struct ph_member **reader);
+bool ph_cluster_list_reader(const struct ph_cluster *cluster, uint64_t now_us,
+			    const struct ph_member **reader);
 
-/** Other instances of the own domain that live, one by one; NULL: none left. */
-const struct ph_member *ph_cluster_near(const struct ph_cluster *members,
-					const struct ph_member *after,
-					uint64_t now_us);
+/**
+ * Iterates over the live peers of the own failure domain; starts with after
+ * NULL and returns NULL at the end.
+ */
+const struct ph_member *
+ph_cluster_next_in_domain(const struct ph_cluster *cluster,
+			  const struct ph_member *after, uint64_t now_us);
 
-/** Distance of the heartbeats to a peer. */
-uint64_t ph_cluster_interval_us(const struct ph_cluster *members,
+/** Interval of the heartbeats that this instance sends to a live peer. */
+uint64_t ph_cluster_interval_us(const struct ph_cluster *cluster,
 				const struct ph_member *member);
 
-/** True while an owned pool is offered to others. */
-bool ph_cluster_offers(const struct ph_cluster *members, uint64_t now_us,
-		       const char *pool);
+/** Whether an owned pool is currently offered to other instances. */
+bool ph_cluster_pool_offered(const struct ph_cluster *cluster, uint64_t now_us,
+			     const char *pool);
 
-/** What a tick decides. */
+/**
+ * Callbacks for the actions that a tick decides on. domain is the pool's name.
+ */
 struct ph_cluster_sink {
+	/** This instance now owns the pool, under this fencing token. */
 	void (*acquire)(void *ctx, const char *domain, uint64_t token);
+	/** This instance no longer owns the pool. */
 	void (*release)(void *ctx, const char *domain);
-	/** A heartbeat is due; member is NULL for a bare contact. */
+	/** A heartbeat is due; m is NULL for an address at which no member is
+	 * known yet. */
 	void (*send_heartbeat)(void *ctx, const char *addr,
 			       const struct ph_member *m);
-	/** The link to a peer that doesn't hear this instance. */
+	/** Close the connection to a peer and open a new one. */
 	void (*reset_link)(void *ctx, const char *addr);
-	/** A peer has fallen silent or restarted. */
+	/** A peer timed out, refused a connection or has restarted. */
 	void (*lost)(void *ctx, const char *name);
 };
 
 struct ph_cluster *ph_cluster_new(const struct ph_cluster_options *options);
-void ph_cluster_free(struct ph_cluster *members);
+void ph_cluster_free(struct ph_cluster *cluster);
 
-/** An address to greet: a seed, or one that the platform knows. */
-void ph_cluster_contact(struct ph_cluster *members, const char *addr);
+/**
+ * Adds an address to which heartbeats are sent until a member is known there.
+ * Addresses already present, and the own one, are ignored.
+ */
+void ph_cluster_add_contact(struct ph_cluster *cluster, const char *addr);
 
-/** Takes note of a heartbeat; returns the sender, NULL if it is stale. */
-const struct ph_member *ph_cluster_heard(struct ph_cluster *members,
-					 uint64_t now_us,
-					 const struct ph_poolmsg *hello);
+/**
+ * Updates the sender of a heartbeat. Returns the sender, which the cluster
+ * owns, or NULL for a heartbeat of an earlier incarnation or of this instance.
+ */
+const struct ph_member *
+ph_cluster_heartbeat_received(struct ph_cluster *cluster, uint64_t now_us,
+			      const struct ph_poolmsg *heartbeat);
 
-/** Nothing listens at a peer's address: it is dead, not just silent. */
-void ph_cluster_refused(struct ph_cluster *members, uint64_t now_us,
-			const char *addr);
+/**
+ * A connection to a peer's address was refused: its process is gone rather
+ * than unreachable, so it counts as failed at once.
+ */
+void ph_cluster_connection_refused(struct ph_cluster *cluster, uint64_t now_us,
+				   const char *addr);
 
-/** The failure domains that have executors. */
-void ph_cluster_set_domains(struct ph_cluster *members,
-			    char (*domains)[PH_NAME_BYTES], size_t count);
+/** Adds pools by name; those already present are ignored. */
+void ph_cluster_add_pools(struct ph_cluster *cluster,
+			  char (*names)[PH_NAME_BYTES], size_t count);
 
-/** No more claims; what is owned is left to others as they claim it. */
-void ph_cluster_leave(struct ph_cluster *members);
+/**
+ * Stops claiming pools; an owned pool is released as soon as another instance
+ * claims it.
+ */
+void ph_cluster_leave(struct ph_cluster *cluster);
 
-/** This process stood still: nothing that it owned is its own. */
-void ph_cluster_paused(struct ph_cluster *members, uint64_t now_us,
+/**
+ * The process was paused, so others may have taken over its pools: releases
+ * all of them and treats all peers as not heard.
+ */
+void ph_cluster_paused(struct ph_cluster *cluster, uint64_t now_us,
 		       const struct ph_cluster_sink *sink, void *ctx);
 
-/** An executor refused this instance's token of a domain. */
-void ph_cluster_fenced(struct ph_cluster *members, uint64_t now_us,
+/**
+ * An executor rejected this instance's fencing token for a pool. Releases the
+ * pool or acquires it again under a higher token.
+ */
+void ph_cluster_fenced(struct ph_cluster *cluster, uint64_t now_us,
 		       uint64_t unix_ms, const char *domain,
 		       const struct ph_cluster_sink *sink, void *ctx);
 
-/** Heartbeats and claims; at least every 50 ms. */
-void ph_cluster_tick(struct ph_cluster *members, uint64_t now_us,
+/**
+ * Detects failed peers, decides on claims and sends heartbeats that are due.
+ * Has to be called at least every 50 ms.
+ */
+void ph_cluster_tick(struct ph_cluster *cluster, uint64_t now_us,
 		     uint64_t unix_ms, const struct ph_cluster_sink *sink,
 		     void *ctx);
 
-/** The owner of a domain's pool as known here. */
+/** The owner of a pool as known to this instance. */
 struct ph_owner {
 	char name[PH_NAME_BYTES];
 	char addr[PH_ADDR_BYTES];
 	uint64_t token;
-	/** Life of the owner. */
 	uint64_t incarnation;
+	/** This instance is the owner; load is not set then. */
 	bool self;
 	struct ph_pool_load load;
-	/** When load was heard, and the owner's clock as it said then. */
+	/** When the heartbeat with the load was received, and the owner's
+	 * monotonic clock in that heartbeat. */
 	uint64_t heard_us;
 	uint64_t clock_us;
 };
 
-/** Finds the live owner of a domain; false if there is none. */
-bool ph_cluster_owner(struct ph_cluster *members, uint64_t now_us,
-		      const char *domain, struct ph_owner *owner);
+/** Finds the live owner of a pool; false if there is none. */
+bool ph_cluster_owner(struct ph_cluster *cluster, uint64_t now_us,
+		      const char *pool, struct ph_owner *owner);
 
-/** True while the same life of an owner is heard. */
-bool ph_cluster_owner_lives(const struct ph_cluster *members, uint64_t now_us,
+/** Whether the owner is alive in the same incarnation. */
+bool ph_cluster_owner_alive(const struct ph_cluster *cluster, uint64_t now_us,
 			    const struct ph_owner *owner);
 
-/** Domain by index, NULL at the end. */
-const char *ph_cluster_domain(const struct ph_cluster *members, size_t i);
+/** Name of the pool at an index; NULL past the end. */
+const char *ph_cluster_pool_name(const struct ph_cluster *cluster, size_t i);
 
-/** True if fewer than half of the instances known lately are heard. */
-bool ph_cluster_minority(const struct ph_cluster *members, uint64_t now_us);
+/**
+ * Whether this instance is on the minority side of a network partition: fewer
+ * than half of the recently known instances, itself included, are alive.
+ */
+bool ph_cluster_minority(const struct ph_cluster *cluster, uint64_t now_us);
 
-/** First member of the list, for dumps and messages. */
-const struct ph_member *ph_cluster_first(const struct ph_cluster *members);
+/** Head of the list of members, linked by next. */
+const struct ph_member *
+ph_cluster_first_member(const struct ph_cluster *cluster);
 
 #endif
--- a/src/cluster_heartbeat.c
+++ b/src/cluster_heartbeat.c
@@ -1,138 +1,144 @@
-/* Heartbeats: how often which peer is greeted, and links that are at fault. */
+/* Heartbeats: their intervals, failed peers, and connections to be reset. */
 
 #include <string.h>
 
 #include "log.h"
 #include "cluster_impl.h"
 
-#define PART "members"
-/* Instances from which on heartbeats are thinned out: with more, those of the
- * cases below take a tenth of a small instance's processor. */
-#define MANY_MEMBERS 100U
-/* Then peers of other domains greet an owner this much less often; a silent
- * one is noticed within 0.7 s, before its callers come again after 1.3 s. */
-#define MANY_OWNER_FACTOR 2U
-/* Then those of different domains that own nothing have little to tell each
- * other: who owns a pool, and who is near, is known at the usual distance. */
-#define MANY_IDLE_FACTOR 20U
-/* Contacts that have not answered are greeted at this interval. */
-#define CONTACT_EVERY_US 300000U
-/* A link over which the peer has heard nothing for this many suspicion times
- * is opened anew. */
-#define LINK_RESET_EVERY_US 500000U
-
-static bool known_addr(const struct ph_cluster *ms, const char *addr,
-		       uint64_t now_us)
+#define PART "cluster"
+/* Peers above which the cluster is large and fewer heartbeats are sent, by the
+ * factors below. At the usual intervals these heartbeats would then take a
+ * tenth of the CPU of a small instance. */
+#define LARGE_CLUSTER_PEERS 100U
+/* Factor in a large cluster between instances of different failure domains if
+ * one of them owns a pool. A failed owner is still detected within 0.7 s,
+ * before its callers retry after 1.3 s. */
+#define LARGE_OWNER_FACTOR 2U
+/* Factor in a large cluster between instances of different failure domains that
+ * own no pool. Owners, and instances of the own domain, send their state more
+ * often. */
+#define LARGE_IDLE_FACTOR 20U
+/* Interval of heartbeats to contacts without a known member and to members that
+ * are suspected to have failed. */
+#define CONTACT_INTERVAL_US 300000U
+/* Least time between two resets of the connection to a peer that is alive but
+ * receives no heartbeats of this instance. */
+#define LINK_RESET_INTERVAL_US 500000U
+
+static bool member_known_at(const struct ph_cluster *cluster, const char *addr,
+			    uint64_t now_us)
 {
 	const struct ph_member *m;
 
-	for (m = ms->first; m; m = m->next)
+	for (m = cluster->first; m; m = m->next)
 		if (!strcmp(m->addr, addr) &&
-		    now_us < m->heard_us + PH_KNOWN_US)
+		    now_us < m->heard_us + PH_MEMBER_KNOWN_US)
 			return true;
 	return false;
 }
 
-uint64_t ph_cluster_interval_us(const struct ph_cluster *ms,
+uint64_t ph_cluster_interval_us(const struct ph_cluster *cluster,
 				const struct ph_member *m)
 {
-	bool same = !strcmp(m->domain, ms->opt.domain);
-	bool many = ms->member_count > MANY_MEMBERS;
-	uint64_t factor = PH_FAR_FACTOR;
+	bool same_domain = !strcmp(m->domain, cluster->opt.domain);
+	bool large = cluster->member_count > LARGE_CLUSTER_PEERS;
+	uint64_t factor = PH_IDLE_INTERVAL_FACTOR;
 
-	if (m->claim_count || ph_claims_owned(ms))
-		factor = many && !same ? MANY_OWNER_FACTOR : 1;
-	else if (same && !many)
+	if (m->claim_count || ph_claims_owned_count(cluster))
+		factor = large && !same_domain ? LARGE_OWNER_FACTOR : 1;
+	else if (same_domain && !large)
 		factor = 1;
-	else if (!same && many)
-		factor = MANY_IDLE_FACTOR;
-	return factor * ms->opt.heartbeat_us;
+	else if (!same_domain && large)
+		factor = LARGE_IDLE_FACTOR;
+	return factor * cluster->opt.heartbeat_us;
 }
 
-void ph_beats_send(struct ph_cluster *ms, uint64_t now_us,
-		   const struct ph_cluster_sink *sink, void *ctx)
+void ph_heartbeat_send_due(struct ph_cluster *cluster, uint64_t now_us,
+			   const struct ph_cluster_sink *sink, void *ctx)
 {
 	struct ph_member *m;
 	size_t i;
 
-	for (m = ms->first; m; m = m->next) {
-		uint64_t every = ph_member_live(ms, m, now_us)
-					 ? ph_cluster_interval_us(ms, m)
-					 : CONTACT_EVERY_US;
+	for (m = cluster->first; m; m = m->next) {
+		uint64_t interval_us =
+			ph_member_alive(cluster, m, now_us)
+				? ph_cluster_interval_us(cluster, m)
+				: CONTACT_INTERVAL_US;
 
-		if (every != m->every_us) {
-			m->every_us = every;
-			m->every_since_us = now_us;
+		if (interval_us != m->send_interval_us) {
+			m->send_interval_us = interval_us;
+			m->send_interval_since_us = now_us;
 		}
-		if (now_us > m->heard_us + PH_KNOWN_US ||
-		    now_us < m->sent_us + every)
+		if (now_us > m->heard_us + PH_MEMBER_KNOWN_US ||
+		    now_us < m->sent_us + interval_us)
 			continue;
 		m->sent_us = now_us;
 		sink->send_heartbeat(ctx, m->addr, m);
 	}
-	for (i = 0; i < ms->contact_count; i++) {
-		struct ph_contact *c = &ms->contacts[i];
+	for (i = 0; i < cluster->contact_count; i++) {
+		struct ph_contact *c = &cluster->contacts[i];
 
-		if (now_us < c->sent_us + CONTACT_EVERY_US)
+		if (now_us < c->sent_us + CONTACT_INTERVAL_US)
 			continue;
 		c->sent_us = now_us;
-		if (!known_addr(ms, c->addr, now_us))
+		if (!member_known_at(cluster, c->addr, now_us))
 			sink->send_heartbeat(ctx, c->addr, NULL);
 	}
 }
 
-/* True if the peer has missed heartbeats of this instance's for so long that
- * the link must be at fault. */
-static bool unheard(const struct ph_cluster *ms, const struct ph_member *m,
-		    uint64_t now_us)
+/* Whether the peer, by its own heartbeats, has received none of this instance's
+ * for so long that the outgoing connection must have failed. */
+static bool link_failed(const struct ph_cluster *cluster,
+			const struct ph_member *m, uint64_t now_us)
 {
-	uint64_t limit_us = PH_FAR_FACTOR * ms->opt.heartbeat_us;
+	uint64_t limit_us = PH_IDLE_INTERVAL_FACTOR * cluster->opt.heartbeat_us;
 
-	if (limit_us < 2 * m->every_us)
-		limit_us = 2 * m->every_us;
-	limit_us += ms->opt.suspect_us;
-	return m->heard_me_ago_us > limit_us &&
-	       now_us > m->every_since_us + limit_us;
+	if (limit_us < 2 * m->send_interval_us)
+		limit_us = 2 * m->send_interval_us;
+	limit_us += cluster->opt.suspect_us;
+	return m->heard_self_ago_us > limit_us &&
+	       now_us > m->send_interval_since_us + limit_us;
 }
 
-void ph_beats_watch(struct ph_cluster *ms, uint64_t now_us,
-		    const struct ph_cluster_sink *sink, void *ctx)
+void ph_heartbeat_check_peers(struct ph_cluster *cluster, uint64_t now_us,
+			      const struct ph_cluster_sink *sink, void *ctx)
 {
 	struct ph_member *m;
 
-	for (m = ms->first; m; m = m->next) {
-		if (m->relink) {
-			m->relink = false;
+	for (m = cluster->first; m; m = m->next) {
+		if (m->reconnect_due) {
+			m->reconnect_due = false;
 			sink->reset_link(ctx, m->addr);
 		}
 		if (m->restarted) {
 			m->restarted = false;
 			sink->lost(ctx, m->name);
 		}
-		if (!m->lost && !ph_member_live(ms, m, now_us)) {
-			m->lost = true;
+		if (!m->loss_reported && !ph_member_alive(cluster, m, now_us)) {
+			m->loss_reported = true;
 			ph_event(PART,
 				 "event=member_lost member=%s silent_us=%llu",
 				 m->name,
 				 (unsigned long long)(now_us - m->heard_us));
 			sink->lost(ctx, m->name);
 		}
-		if (ph_member_live(ms, m, now_us) && unheard(ms, m, now_us) &&
-		    now_us > m->link_reset_us + LINK_RESET_EVERY_US) {
+		if (ph_member_alive(cluster, m, now_us) &&
+		    link_failed(cluster, m, now_us) &&
+		    now_us > m->link_reset_us + LINK_RESET_INTERVAL_US) {
 			m->link_reset_us = now_us;
 			sink->reset_link(ctx, m->addr);
 		}
 	}
 }
 
-void ph_cluster_heartbeat_soon(struct ph_cluster *ms,
-			       enum ph_heartbeat_scope whom)
+void ph_cluster_heartbeat_soon(struct ph_cluster *cluster,
+			       enum ph_heartbeat_scope scope)
 {
-	bool near =
-		whom == PH_HEARTBEAT_DOMAIN && ms->member_count > MANY_MEMBERS;
+	bool domain_only = scope == PH_HEARTBEAT_DOMAIN &&
+			   cluster->member_count > LARGE_CLUSTER_PEERS;
 	struct ph_member *m;
 
-	for (m = ms->first; m; m = m->next)
-		if (!near || !strcmp(m->domain, ms->opt.domain))
+	for (m = cluster->first; m; m = m->next)
+		if (!domain_only || !strcmp(m->domain, cluster->opt.domain))
 			m->sent_us = 0;
 }
--- a/src/cluster_impl.h
+++ b/src/cluster_impl.h
@@ -1,102 +1,116 @@
 #ifndef PH_CLUSTER_IMPL_H
 #define PH_CLUSTER_IMPL_H
 
-/* Shared by cluster.c (who lives), cluster_heartbeat.c (heartbeats and links)
- * and cluster_ownership.c (who owns which pool). */
+/* Shared by cluster.c (members and failure detection), cluster_heartbeat.c
+ * (heartbeats and connections) and cluster_ownership.c (claims of pools). */
 
 #include "cluster.h"
 
-/* A silent peer counts as known for this long. */
-#define PH_KNOWN_US 15000000U
-/* Peers that have no work for each other greet this much less often. */
-#define PH_FAR_FACTOR 5U
+/* Time after the last heartbeat for which a peer counts as a possibly
+ * partitioned member; heartbeats are sent to it until then. */
+#define PH_MEMBER_KNOWN_US 15000000U
+/* Factor of the heartbeat interval between instances that exchange no batches:
+ * neither owns a pool. */
+#define PH_IDLE_INTERVAL_FACTOR 5U
 
-/** A pool as to who owns it. */
+/** State of the claims of ownership of one pool. */
 struct ph_pool_claim {
 	char name[PH_NAME_BYTES];
-	/** This instance owns it, under this token. */
+	/** This instance owns the pool, under token. */
 	bool owned;
 	uint64_t token;
-	/** Highest token that was ever seen. */
-	uint64_t top_token;
+	/** Highest fencing token seen for the pool. */
+	uint64_t highest_token;
 	/** Live peer with the best claim; NULL: none. */
 	const struct ph_member *claimant;
-	/** Likewise, of those that neither leave nor offer it. */
-	const struct ph_member *keeper;
-	/** Nobody owns it that would keep it. */
+	/** Live peer with the best claim among those that are not leaving and
+	 * do not offer the pool; NULL: none. */
+	const struct ph_member *committed_claimant;
+	/** The pool has no owner that keeps it, so it may be claimed. */
 	bool vacant;
-	/** By the plan of claims this instance is to claim it. */
-	bool planned;
-	/** Since when both are so; 0: they aren't. */
-	uint64_t vacant_us;
-	/** Refused by an executor at this time; 0: no. */
-	uint64_t fenced_us;
-	/** Times that the token was raised since the pool was claimed. */
-	uint32_t raises;
-	/** Given up by a fenced minority: not claimed again as one. */
+	/** The claim plan assigns the vacant pool to this instance. */
+	bool assigned_to_self;
+	/** Since when the pool has been vacant and assigned to this instance;
+	 * 0: it is not. */
+	uint64_t vacant_since_us;
+	/** When an executor first rejected the token; 0: none has. */
+	uint64_t fenced_since_us;
+	/** How often the token has been raised since the pool was claimed. */
+	uint32_t token_raises;
+	/** Released because executors rejected the token while this instance
+	 * was in a minority; not claimed again until it is in the majority. */
 	bool yielded;
-	/** Offered to others until then. */
+	/** The pool is offered to other instances until this time. */
 	uint64_t offered_until_us;
 };
 
-/* An address to greet until an instance is known there. */
+/** An address that gets heartbeats until a member is known there. */
 struct ph_contact {
 	char addr[PH_ADDR_BYTES];
+	/** When the last heartbeat to it was due. */
 	uint64_t sent_us;
 };
 
 struct ph_cluster {
 	const struct ph_mem *mem;
 	struct ph_cluster_options opt;
+	/** List of all members, linked by next. */
 	struct ph_member *first;
-	/** Those that claim pools, in no order. */
+	/** List of the members that claim pools, linked by next_owner. */
 	struct ph_member *first_owner;
 	size_t member_count;
 	struct ph_contact *contacts;
 	size_t contact_count;
-	/** Pools: a failure domain each, or a shard of one. */
+	/** Pools: each holds the executors of a failure domain or of a shard
+	 * of one. */
 	struct ph_pool_claim *pools;
-	/** Their indexes in the order of their names. */
+	/** Indexes into pools, sorted by pool name. */
 	size_t *by_name;
 	size_t pool_count;
 	bool leaving;
-	/** Enough instances of the own domain are heard for all to agree on
-	 * who claims what. */
-	bool well_known;
-	/** The claims of all heartbeats are noted at their pools. */
-	bool indexed;
-	uint64_t claimed_us;
-	uint64_t offered_us;
+	/** So many instances of the own domain are alive that all of them are
+	 * taken to compute the same claim plan. */
+	bool plan_shared;
+	/** claimant and committed_claimant of all pools reflect the heartbeats
+	 * received. */
+	bool claims_indexed;
+	/** When this instance last claimed, and last offered, a pool. */
+	uint64_t last_claim_us;
+	uint64_t last_offer_us;
 };
 
 /* ## cluster.c */
 
-struct ph_member *ph_member_find(const struct ph_cluster *ms, const char *name);
-/** True unless it has been silent for too long. */
-bool ph_member_live(const struct ph_cluster *ms, const struct ph_member *m,
-		    uint64_t now_us);
+struct ph_member *ph_member_find(const struct ph_cluster *cluster,
+				 const char *name);
+/** Whether a heartbeat of the peer was received within its suspicion time. */
+bool ph_member_alive(const struct ph_cluster *cluster,
+		     const struct ph_member *m, uint64_t now_us);
 
 /* ## cluster_heartbeat.c */
 
-/** Reports peers that are lost and links that are at fault. */
-void ph_beats_watch(struct ph_cluster *ms, uint64_t now_us,
-		    const struct ph_cluster_sink *sink, void *ctx);
-/** Sends the heartbeats that are due. */
-void ph_beats_send(struct ph_cluster *ms, uint64_t now_us,
-		   const struct ph_cluster_sink *sink, void *ctx);
+/** Reports failed and restarted peers; resets connections that fail. */
+void ph_heartbeat_check_peers(struct ph_cluster *cluster, uint64_t now_us,
+			      const struct ph_cluster_sink *sink, void *ctx);
+/** Sends heartbeats that are due to members and contacts. */
+void ph_heartbeat_send_due(struct ph_cluster *cluster, uint64_t now_us,
+			   const struct ph_cluster_sink *sink, void *ctx);
 
 /* ## cluster_ownership.c */
 
-uint32_t ph_claims_owned(const struct ph_cluster *ms);
-/** Resolves the names of what a peer claims. */
-void ph_claims_resolve(const struct ph_cluster *ms, struct ph_member *m);
-/** True if a heartbeat claims what the one before it did. */
-bool ph_claims_same(const struct ph_member *m, const struct ph_poolmsg *hello);
-/** Gives a pool up. */
-void ph_claim_release(struct ph_pool_claim *d,
+/** Number of pools that this instance owns. */
+uint32_t ph_claims_owned_count(const struct ph_cluster *cluster);
+/** Looks up the pool index of each of a peer's claims. */
+void ph_claims_resolve(const struct ph_cluster *cluster, struct ph_member *m);
+/** Whether a heartbeat has the same claims as the sender's previous one. */
+bool ph_claims_unchanged(const struct ph_member *m,
+			 const struct ph_poolmsg *heartbeat);
+/** Ends this instance's ownership of a pool. */
+void ph_claim_release(struct ph_pool_claim *pool,
 		      const struct ph_cluster_sink *sink, void *ctx);
-/** Claims, releases and offers that are due. */
-void ph_claims_tick(struct ph_cluster *ms, uint64_t now_us, uint64_t unix_ms,
-		    const struct ph_cluster_sink *sink, void *ctx);
+/** Releases outranked pools, claims vacant ones and offers surplus ones. */
+void ph_claims_tick(struct ph_cluster *cluster, uint64_t now_us,
+		    uint64_t unix_ms, const struct ph_cluster_sink *sink,
+		    void *ctx);
 
 #endif
--- a/src/cluster_ownership.c
+++ b/src/cluster_ownership.c
@@ -1,4 +1,5 @@
-/* Claims: which instance owns which pool. */
+/* Claims of ownership: decides which pools this instance claims, releases and
+ * offers, and which instance owns each of the other pools. */
 
 #include <string.h>
 
@@ -7,52 +8,63 @@
 #include "cluster_impl.h"
 #include "pool_shard.h"
 
-#define PART "members"
-/* Vacancy of a pool before an instance of its domain claims it: time for the
- * heartbeats of another claim to arrive. */
+#define PART "cluster"
+/* Time for which a pool has to be vacant before an instance of its domain
+ * claims it, so that heartbeats with a claim of another instance can arrive. */
 #define CLAIM_AFTER_US 100000U
-/* Vacancy before a pool is adopted from another domain, and before a minority
- * claims one: the others are likely cut off, not dead. */
-#define ADOPT_AFTER_US 2000000U
-#define MINORITY_AFTER_US 3000000U
-/* Time from the start to the first claim: a read of the other instances and a
- * heartbeat each way. Instances that start later find the claim; what belongs
- * to another domain waits for its own instances. */
-#define SETTLE_US 200000U
-#define SETTLE_ADOPT_US 2000000U
-/* Time for the claim behind a refused token to arrive, and for the heartbeats
- * of links that were cut. */
+/* The same before an instance of another domain takes the pool over, and before
+ * an instance in a minority claims one: the other instances are probably behind
+ * a network partition rather than dead. */
+#define TAKE_OVER_AFTER_US 2000000U
+#define MINORITY_CLAIM_AFTER_US 3000000U
+/* Time from the start of an instance to its first claim: enough to read the
+ * list of the other instances and to exchange a heartbeat with each. Instances
+ * that start later then hear of the claim. */
+#define START_CLAIM_DELAY_US 200000U
+/* The same for pools of other domains, whose own instances may be starting. */
+#define START_TAKE_OVER_DELAY_US 2000000U
+/* Wait after executors first reject the token, so that the heartbeat with the
+ * claim that outdates it can arrive. */
 #define FENCED_WAIT_US 100000U
-#define CUT_FENCED_WAIT_US 300000U
-/* Claims of one instance follow each other at this distance, so that the
- * others hear of one before the next is weighed; */
-#define CLAIM_GAP_US 60000U
-/* not in a domain of which so many are heard: all have the same plan. */
-#define PLAN_FROM 4U
-/* Pools are offered to an instance with more processor to spare, one at a
- * time; an offer that nobody takes ends. */
-#define OFFER_EVERY_US 1500000U
-#define OFFER_FOR_US 700000U
-/* A move has to leave the taker this much better off, in percent. */
-#define OFFER_GAIN_PERCENT 75U
+/* The same in a minority: after a network partition the connections to the
+ * other instances have to recover first. */
+#define MINORITY_FENCED_WAIT_US 300000U
+/* Least time between two claims of an instance, so that the other instances
+ * hear of the first claim before the second is decided on. */
+#define CLAIM_INTERVAL_US 60000U
+/* Live instances of a domain from which on its pools are claimed without that
+ * interval, since all of them compute the same claim plan. */
+#define PLAN_MIN_INSTANCES 4U
+/* Least time between two offers of a pool to less loaded instances, and between
+ * a claim and an offer. */
+#define OFFER_INTERVAL_US 1500000U
+/* An offer ends after this time if no instance claims the pool. */
+#define OFFER_DURATION_US 700000U
+/* A pool is offered only if the other instance, with the pool, would own less
+ * than this percentage of the pools per CPU that this instance owns. */
+#define OFFER_MAX_LOAD_PERCENT 75U
 #define PERCENT 100U
 #define MS_PER_S 1000U
+/* A fencing token is the Unix time in milliseconds, shifted left by this many
+ * bits, with bits of the hash of the instance's name below. */
 #define TOKEN_SHIFT 8U
-/* A token that executors refuse lies behind one that nobody here has heard of:
- * the time of day has jumped back, or all that heard it are gone. It is raised
- * by a second's worth, then by this many times that with each refusal. */
+/* Executors may reject a token because they have seen a higher one that no
+ * instance knows: the time of day was set back, or all instances that knew it
+ * have failed. The token is raised by the equivalent of 1 s, and by 8 times as
+ * much with each further rejection. */
 #define TOKEN_RAISE_MS 1000U
 #define TOKEN_RAISE_FACTOR 8U
+/* Rejections after which the raise grows no further. */
 #define TOKEN_RAISES_MAX 6U
 
-static struct ph_pool_claim *claim_find(const struct ph_cluster *ms,
+static struct ph_pool_claim *claim_find(const struct ph_cluster *cluster,
 					const char *name)
 {
 	size_t i;
 
-	for (i = 0; i < ms->pool_count; i++)
-		if (!strcmp(ms->pools[i].name, name))
-			return &ms->pools[i];
+	for (i = 0; i < cluster->pool_count; i++)
+		if (!strcmp(cluster->pools[i].name, name))
+			return &cluster->pools[i];
 	return NULL;
 }
 
@@ -67,148 +79,154 @@
 	return NULL;
 }
 
-/* The better of two claims of a pool: the domain's own first, then by token. */
-static const struct ph_member *better(const struct ph_pool_claim *d,
-				      const struct ph_member *a,
-				      const struct ph_member *b)
+/* The peer with the better claim of a pool, of two that claim it; either may be
+ * NULL. A claim by an instance of the pool's domain comes first, then the one
+ * with the higher token. */
+static const struct ph_member *better_claimant(const struct ph_pool_claim *p,
+					       const struct ph_member *a,
+					       const struct ph_member *b)
 {
-	bool native_a;
-	bool native_b;
+	bool a_in_domain;
+	bool b_in_domain;
 
 	if (!a || !b)
 		return a ? a : b;
-	native_a = ph_pool_shard_in(d->name, a->domain);
-	native_b = ph_pool_shard_in(d->name, b->domain);
-	if (native_a != native_b)
-		return native_a ? a : b;
-	return claim_of(a, d->name)->token >= claim_of(b, d->name)->token ? a
+	a_in_domain = ph_pool_shard_in(p->name, a->domain);
+	b_in_domain = ph_pool_shard_in(p->name, b->domain);
+	if (a_in_domain != b_in_domain)
+		return a_in_domain ? a : b;
+	return claim_of(a, p->name)->token >= claim_of(b, p->name)->token ? a
 									  : b;
 }
 
-static void index_claim(struct ph_cluster *ms, const struct ph_member *m,
+/* Counts one claim of a peer in the state of the claimed pool. */
+static void index_claim(struct ph_cluster *cluster, const struct ph_member *m,
 			uint32_t i, uint64_t now_us)
 {
 	const struct ph_claim *c = &m->claims[i];
-	struct ph_pool_claim *d;
+	struct ph_pool_claim *p;
 
-	if (m->claimed[i] == UINT32_MAX)
+	if (m->claimed_pool[i] == UINT32_MAX)
 		return;
-	d = &ms->pools[m->claimed[i]];
-	if (c->token > d->top_token)
-		d->top_token = c->token;
-	if (!ph_member_live(ms, m, now_us))
+	p = &cluster->pools[m->claimed_pool[i]];
+	if (c->token > p->highest_token)
+		p->highest_token = c->token;
+	if (!ph_member_alive(cluster, m, now_us))
 		return;
-	d->claimant = better(d, d->claimant, m);
+	p->claimant = better_claimant(p, p->claimant, m);
 	if (!m->leaving && !c->offered)
-		d->keeper = better(d, d->keeper, m);
+		p->committed_claimant =
+			better_claimant(p, p->committed_claimant, m);
 }
 
-/* Notes for each pool who claims it, from the heartbeats known by now. */
-static void index_claims(struct ph_cluster *ms, uint64_t now_us)
+/* Determines the claimants of each pool from the latest heartbeats. */
+static void index_claims(struct ph_cluster *cluster, uint64_t now_us)
 {
 	const struct ph_member *m;
 	uint32_t i;
 
-	for (i = 0; i < ms->pool_count; i++) {
-		ms->pools[i].claimant = NULL;
-		ms->pools[i].keeper = NULL;
+	for (i = 0; i < cluster->pool_count; i++) {
+		cluster->pools[i].claimant = NULL;
+		cluster->pools[i].committed_claimant = NULL;
 	}
-	for (m = ms->first_owner; m; m = m->next_owner)
+	for (m = cluster->first_owner; m; m = m->next_owner)
 		for (i = 0; i < m->claim_count; i++)
-			index_claim(ms, m, i, now_us);
-	ms->indexed = true;
+			index_claim(cluster, m, i, now_us);
+	cluster->claims_indexed = true;
 }
 
-/* Resolves the names of what a peer claims. */
-void ph_claims_resolve(const struct ph_cluster *ms, struct ph_member *m)
+void ph_claims_resolve(const struct ph_cluster *cluster, struct ph_member *m)
 {
 	uint32_t i;
 
 	for (i = 0; i < m->claim_count; i++) {
-		const struct ph_pool_claim *d =
-			claim_find(ms, m->claims[i].domain);
+		const struct ph_pool_claim *p =
+			claim_find(cluster, m->claims[i].domain);
 
-		m->claimed[i] = d ? (uint32_t)(d - ms->pools) : UINT32_MAX;
+		m->claimed_pool[i] =
+			p ? (uint32_t)(p - cluster->pools) : UINT32_MAX;
 	}
 }
 
-/* True if a heartbeat claims what the one before it did. */
-bool ph_claims_same(const struct ph_member *m, const struct ph_poolmsg *hello)
+bool ph_claims_unchanged(const struct ph_member *m,
+			 const struct ph_poolmsg *heartbeat)
 {
 	uint32_t i;
 
-	if (m->claim_count != hello->claim_count ||
-	    m->leaving != hello->leaving)
+	if (m->claim_count != heartbeat->claim_count ||
+	    m->leaving != heartbeat->leaving)
 		return false;
 	for (i = 0; i < m->claim_count; i++)
-		if (m->claimed[i] == UINT32_MAX ||
-		    m->claims[i].token != hello->claims[i].token ||
-		    m->claims[i].offered != hello->claims[i].offered ||
-		    strcmp(m->claims[i].domain, hello->claims[i].domain) != 0)
+		if (m->claimed_pool[i] == UINT32_MAX ||
+		    m->claims[i].token != heartbeat->claims[i].token ||
+		    m->claims[i].offered != heartbeat->claims[i].offered ||
+		    strcmp(m->claims[i].domain, heartbeat->claims[i].domain) !=
+			    0)
 			return false;
 	return true;
 }
 
-static void add_by_name(struct ph_cluster *ms, size_t index)
+static void add_by_name(struct ph_cluster *cluster, size_t index)
 {
 	size_t i = index;
 
-	for (; i && strcmp(ms->pools[ms->by_name[i - 1]].name,
-			   ms->pools[index].name) > 0;
+	for (; i && strcmp(cluster->pools[cluster->by_name[i - 1]].name,
+			   cluster->pools[index].name) > 0;
 	     i--)
-		ms->by_name[i] = ms->by_name[i - 1];
-	ms->by_name[i] = index;
+		cluster->by_name[i] = cluster->by_name[i - 1];
+	cluster->by_name[i] = index;
 }
 
-void ph_cluster_set_domains(struct ph_cluster *ms,
-			    char (*domains)[PH_NAME_BYTES], size_t count)
+void ph_cluster_add_pools(struct ph_cluster *cluster,
+			  char (*names)[PH_NAME_BYTES], size_t count)
 {
 	struct ph_member *m;
 	size_t i;
 
 	for (i = 0; i < count; i++) {
-		if (claim_find(ms, domains[i]))
+		if (claim_find(cluster, names[i]))
 			continue;
-		ms->pools = ph_array_grow(ms->mem, ms->pools, ms->pool_count,
-					  sizeof(*ms->pools));
-		ms->by_name =
-			ph_array_grow(ms->mem, ms->by_name, ms->pool_count,
-				      sizeof(*ms->by_name));
-		ph_strcopy(ms->pools[ms->pool_count].name, PH_NAME_BYTES,
-			   domains[i]);
-		add_by_name(ms, ms->pool_count++);
+		cluster->pools = ph_array_grow(cluster->mem, cluster->pools,
+					       cluster->pool_count,
+					       sizeof(*cluster->pools));
+		cluster->by_name = ph_array_grow(cluster->mem, cluster->by_name,
+						 cluster->pool_count,
+						 sizeof(*cluster->by_name));
+		ph_strcopy(cluster->pools[cluster->pool_count].name,
+			   PH_NAME_BYTES, names[i]);
+		add_by_name(cluster, cluster->pool_count++);
 	}
-	for (m = ms->first_owner; m; m = m->next_owner)
-		ph_claims_resolve(ms, m);
-	ms->indexed = false;
+	for (m = cluster->first_owner; m; m = m->next_owner)
+		ph_claims_resolve(cluster, m);
+	cluster->claims_indexed = false;
 }
 
-/* ## Owners */
+/* ## Current owners */
 
-bool ph_cluster_owner(struct ph_cluster *ms, uint64_t now_us, const char *name,
-		      struct ph_owner *owner)
+bool ph_cluster_owner(struct ph_cluster *cluster, uint64_t now_us,
+		      const char *name, struct ph_owner *owner)
 {
-	struct ph_pool_claim *d = claim_find(ms, name);
+	struct ph_pool_claim *p = claim_find(cluster, name);
 	const struct ph_member *m;
 	const struct ph_claim *c;
 
 	memset(owner, 0, sizeof(*owner));
-	if (!d)
+	if (!p)
 		return false;
-	if (d->owned) {
-		ph_strcopy(owner->name, sizeof(owner->name), ms->opt.name);
-		ph_strcopy(owner->addr, sizeof(owner->addr), ms->opt.addr);
-		owner->token = d->token;
-		owner->incarnation = ms->opt.incarnation;
+	if (p->owned) {
+		ph_strcopy(owner->name, sizeof(owner->name), cluster->opt.name);
+		ph_strcopy(owner->addr, sizeof(owner->addr), cluster->opt.addr);
+		owner->token = p->token;
+		owner->incarnation = cluster->opt.incarnation;
 		owner->self = true;
 		owner->heard_us = now_us;
 		owner->clock_us = now_us;
 		return true;
 	}
-	if (!ms->indexed ||
-	    (d->claimant && !ph_member_live(ms, d->claimant, now_us)))
-		index_claims(ms, now_us);
-	m = d->claimant;
+	if (!cluster->claims_indexed ||
+	    (p->claimant && !ph_member_alive(cluster, p->claimant, now_us)))
+		index_claims(cluster, now_us);
+	m = p->claimant;
 	if (!m)
 		return false;
 	c = claim_of(m, name);
@@ -222,27 +240,32 @@
 	return true;
 }
 
+/* ## Claim plan */
+
+/* What decides which of several instances claims a pool. */
 struct rank {
+	/** Number of pools that it owns or is assigned. */
 	uint32_t owned;
 	uint32_t cpu_milli;
 	uint64_t incarnation;
 	const char *name;
 };
 
-uint32_t ph_claims_owned(const struct ph_cluster *ms)
+uint32_t ph_claims_owned_count(const struct ph_cluster *cluster)
 {
 	uint32_t n = 0;
 	size_t i;
 
-	for (i = 0; i < ms->pool_count; i++)
-		n += ms->pools[i].owned;
+	for (i = 0; i < cluster->pool_count; i++)
+		n += cluster->pools[i].owned;
 	return n;
 }
 
-static struct rank rank_self(const struct ph_cluster *ms)
+static struct rank rank_self(const struct ph_cluster *cluster)
 {
-	struct rank r = { ph_claims_owned(ms), ms->opt.cpu_milli,
-			  ms->opt.incarnation, ms->opt.name };
+	struct rank r = { ph_claims_owned_count(cluster),
+			  cluster->opt.cpu_milli, cluster->opt.incarnation,
+			  cluster->opt.name };
 
 	return r;
 }
@@ -255,9 +278,9 @@
 	return r;
 }
 
-/* True if a is to own one more pool rather than b: the one with more processor
- * for each of its pools, then the one that has just restarted, for it is the
- * least likely to be stopped next when all are restarted in turn. */
+/* Whether a takes precedence over b for one more pool: the instance with more
+ * CPU per pool, then the one that was started last, since in a rolling restart
+ * it is the least likely to be stopped next. */
 static bool outranks(const struct rank *a, const struct rank *b)
 {
 	uint64_t load_a = (uint64_t)(a->owned + 1) * b->cpu_milli;
@@ -270,24 +293,25 @@
 	return strcmp(a->name, b->name) > 0;
 }
 
-/* An instance that may claim pools. */
+/* A live instance that may claim more pools, and its failure domain. */
 struct candidate {
 	struct rank rank;
 	const char *domain;
 };
 
-static uint32_t list_candidates(const struct ph_cluster *ms, uint64_t now_us,
-				struct candidate *list)
+static uint32_t list_candidates(const struct ph_cluster *cluster,
+				uint64_t now_us, struct candidate *list)
 {
 	const struct ph_member *m;
 	uint32_t n = 0;
 
-	if (!ms->leaving && ph_claims_owned(ms) < PH_CLAIMS_MAX) {
-		list[n].rank = rank_self(ms);
-		list[n++].domain = ms->opt.domain;
+	if (!cluster->leaving &&
+	    ph_claims_owned_count(cluster) < PH_CLAIMS_MAX) {
+		list[n].rank = rank_self(cluster);
+		list[n++].domain = cluster->opt.domain;
 	}
-	for (m = ms->first; m; m = m->next) {
-		if (!ph_member_live(ms, m, now_us) || m->leaving ||
+	for (m = cluster->first; m; m = m->next) {
+		if (!ph_member_alive(cluster, m, now_us) || m->leaving ||
 		    m->claim_count >= PH_CLAIMS_MAX)
 			continue;
 		list[n].rank = rank_of(m);
@@ -296,295 +320,325 @@
 	return n;
 }
 
-/* The one to claim a vacant pool: of its domain's own before others. */
+/* The instance that is to claim a vacant pool; instances of the pool's domain
+ * take precedence. NULL if all candidates own PH_CLAIMS_MAX pools. */
 static struct candidate *first_candidate(struct candidate *list, uint32_t count,
 					 const char *pool)
 {
 	struct candidate *best = NULL;
-	bool best_native = false;
+	bool best_in_domain = false;
 	uint32_t i;
 
 	for (i = 0; i < count; i++) {
-		bool native = ph_pool_shard_in(pool, list[i].domain);
+		bool in_domain = ph_pool_shard_in(pool, list[i].domain);
 
 		if (list[i].rank.owned >= PH_CLAIMS_MAX)
 			continue;
-		if (best && (native != best_native
-				     ? best_native
+		if (best && (in_domain != best_in_domain
+				     ? best_in_domain
 				     : !outranks(&list[i].rank, &best->rank)))
 			continue;
 		best = &list[i];
-		best_native = native;
+		best_in_domain = in_domain;
 	}
 	return best;
 }
 
-/* Shares the vacant pools out among the instances that live, in the order of
- * their names: all that hear each other come to the same plan, so that each
- * claims its part at once. */
-static void plan_claims(struct ph_cluster *ms, uint64_t now_us)
+/* Assigns the vacant pools, sorted by name, to the live instances. Instances
+ * that know of the same peers compute the same plan, so that each can claim its
+ * share at once. */
+static void plan_claims(struct ph_cluster *cluster, uint64_t now_us)
 {
 	struct candidate *list =
-		ms->mem->calloc(ms->member_count + 1, sizeof(*list));
-	uint32_t count = list_candidates(ms, now_us, list);
-	uint32_t natives = 0;
+		cluster->mem->calloc(cluster->member_count + 1, sizeof(*list));
+	uint32_t count = list_candidates(cluster, now_us, list);
+	uint32_t same_domain = 0;
 	uint32_t i;
 
 	for (i = 0; i < count; i++)
-		natives += !strcmp(list[i].domain, ms->opt.domain);
-	ms->well_known = natives >= PLAN_FROM;
-	for (i = 0; i < ms->pool_count; i++) {
-		struct ph_pool_claim *d = &ms->pools[ms->by_name[i]];
+		same_domain += !strcmp(list[i].domain, cluster->opt.domain);
+	cluster->plan_shared = same_domain >= PLAN_MIN_INSTANCES;
+	for (i = 0; i < cluster->pool_count; i++) {
+		struct ph_pool_claim *p = &cluster->pools[cluster->by_name[i]];
 		struct candidate *c;
 
-		if (!d->vacant)
+		if (!p->vacant)
 			continue;
-		c = first_candidate(list, count, d->name);
-		d->planned = c && !strcmp(c->rank.name, ms->opt.name);
+		c = first_candidate(list, count, p->name);
+		p->assigned_to_self =
+			c && !strcmp(c->rank.name, cluster->opt.name);
 		if (c)
 			c->rank.owned++;
 	}
-	ms->mem->free(list);
+	cluster->mem->free(list);
 }
 
-/* Two instances that claim in the same millisecond get different tokens, but
- * for one case in 256, in which outranked() goes by their names. */
-static uint64_t new_token(const struct ph_cluster *ms, struct ph_pool_claim *d,
-			  uint64_t unix_ms)
+/* Two instances that claim a pool in the same millisecond get different tokens
+ * with a probability of 255/256; outranked() compares their names if the tokens
+ * are equal. */
+static uint64_t new_token(const struct ph_cluster *cluster,
+			  struct ph_pool_claim *p, uint64_t unix_ms)
 {
-	uint64_t own = ph_hash_str(ms->opt.name) & ((1U << TOKEN_SHIFT) - 1);
+	uint64_t own =
+		ph_hash_str(cluster->opt.name) & ((1U << TOKEN_SHIFT) - 1);
 	uint64_t token = unix_ms << TOKEN_SHIFT | own;
 
-	if (token <= d->top_token)
-		token = d->top_token + 1;
-	d->top_token = token;
+	if (token <= p->highest_token)
+		token = p->highest_token + 1;
+	p->highest_token = token;
 	return token;
 }
 
-static void acquire(const struct ph_cluster *ms, struct ph_pool_claim *d,
+/* ## Acquisition and release */
+
+static void acquire(const struct ph_cluster *cluster, struct ph_pool_claim *p,
 		    uint64_t unix_ms, const struct ph_cluster_sink *sink,
 		    void *ctx)
 {
-	d->offered_until_us = 0;
-	d->owned = true;
-	d->vacant_us = 0;
-	d->fenced_us = 0;
-	d->token = new_token(ms, d, unix_ms);
-	sink->acquire(ctx, d->name, d->token);
+	p->offered_until_us = 0;
+	p->owned = true;
+	p->vacant_since_us = 0;
+	p->fenced_since_us = 0;
+	p->token = new_token(cluster, p, unix_ms);
+	sink->acquire(ctx, p->name, p->token);
 }
 
-void ph_claim_release(struct ph_pool_claim *d,
+void ph_claim_release(struct ph_pool_claim *p,
 		      const struct ph_cluster_sink *sink, void *ctx)
 {
-	d->owned = false;
-	d->vacant_us = 0;
-	sink->release(ctx, d->name);
+	p->owned = false;
+	p->vacant_since_us = 0;
+	sink->release(ctx, p->name);
 }
 
-static bool outranked(const struct ph_cluster *ms,
-		      const struct ph_pool_claim *d)
+/* Whether another instance's claim prevails over this instance's ownership. */
+static bool outranked(const struct ph_cluster *cluster,
+		      const struct ph_pool_claim *p)
 {
-	const struct ph_member *m = d->keeper;
-	bool self_native = ph_pool_shard_in(d->name, ms->opt.domain);
-	bool other_native;
+	const struct ph_member *m = p->committed_claimant;
+	bool self_in_domain = ph_pool_shard_in(p->name, cluster->opt.domain);
+	bool other_in_domain;
 	uint64_t token;
 
 	if (!m)
 		return false;
-	if (ms->leaving)
+	if (cluster->leaving)
 		return true;
-	other_native = ph_pool_shard_in(d->name, m->domain);
-	if (self_native != other_native)
-		return other_native;
-	token = claim_of(m, d->name)->token;
-	return token > d->token ||
-	       (token == d->token && strcmp(m->name, ms->opt.name) > 0);
+	other_in_domain = ph_pool_shard_in(p->name, m->domain);
+	if (self_in_domain != other_in_domain)
+		return other_in_domain;
+	token = claim_of(m, p->name)->token;
+	return token > p->token ||
+	       (token == p->token && strcmp(m->name, cluster->opt.name) > 0);
 }
 
-/* True if an instance of the domain may be at work behind a cut. */
-static bool maybe_cut_off(const struct ph_cluster *ms, const char *pool,
-			  uint64_t now_us)
+/* Whether an instance of the pool's domain may still be running behind a
+ * network partition. */
+static bool maybe_partitioned(const struct ph_cluster *cluster,
+			      const char *pool, uint64_t now_us)
 {
 	const struct ph_member *m;
 
-	for (m = ms->first; m; m = m->next)
+	for (m = cluster->first; m; m = m->next)
 		if (ph_pool_shard_in(pool, m->domain) && !m->leaving &&
-		    !m->dead && now_us < m->heard_us + PH_KNOWN_US)
+		    !m->connection_refused &&
+		    now_us < m->heard_us + PH_MEMBER_KNOWN_US)
 			return true;
 	return false;
 }
 
-static uint64_t claim_delay(const struct ph_cluster *ms, const char *pool,
-			    bool native, uint64_t now_us)
+/* Time for which the pool has to be vacant before it is claimed, in us. */
+static uint64_t claim_delay_us(const struct ph_cluster *cluster,
+			       const char *pool, bool in_domain,
+			       uint64_t now_us)
 {
-	if (ph_cluster_minority(ms, now_us))
-		return MINORITY_AFTER_US;
-	if (native || !maybe_cut_off(ms, pool, now_us))
+	if (ph_cluster_minority(cluster, now_us))
+		return MINORITY_CLAIM_AFTER_US;
+	if (in_domain || !maybe_partitioned(cluster, pool, now_us))
 		return CLAIM_AFTER_US;
-	return ADOPT_AFTER_US;
+	return TAKE_OVER_AFTER_US;
 }
 
-/* True if nobody owns the pool that would keep it. */
-static bool vacant(const struct ph_cluster *ms, const struct ph_pool_claim *d)
+/* Whether a pool that this instance doesn't own has no lasting owner: no
+ * committed claim or, for an instance of its domain, just claims by instances
+ * of other domains. */
+static bool vacant(const struct ph_cluster *cluster,
+		   const struct ph_pool_claim *p)
 {
-	const struct ph_member *m = d->keeper;
-	bool native = ph_pool_shard_in(d->name, ms->opt.domain);
+	const struct ph_member *m = p->committed_claimant;
+	bool in_domain = ph_pool_shard_in(p->name, cluster->opt.domain);
 
-	return !m || (native && !ph_pool_shard_in(d->name, m->domain));
+	return !m || (in_domain && !ph_pool_shard_in(p->name, m->domain));
 }
 
-static void consider(struct ph_cluster *ms, struct ph_pool_claim *d,
-		     bool minority, uint64_t now_us, uint64_t unix_ms,
-		     const struct ph_cluster_sink *sink, void *ctx)
+/* Claims a pool that the plan has assigned to this instance for long enough. */
+static void claim_if_due(struct ph_cluster *cluster, struct ph_pool_claim *p,
+			 bool minority, uint64_t now_us, uint64_t unix_ms,
+			 const struct ph_cluster_sink *sink, void *ctx)
 {
-	bool native = ph_pool_shard_in(d->name, ms->opt.domain);
-	uint64_t settle_us = native ? SETTLE_US : SETTLE_ADOPT_US;
+	bool in_domain = ph_pool_shard_in(p->name, cluster->opt.domain);
+	uint64_t start_delay_us =
+		in_domain ? START_CLAIM_DELAY_US : START_TAKE_OVER_DELAY_US;
 
 	if (!minority)
-		d->yielded = false;
-	if (!d->vacant || !d->planned ||
-	    now_us < ms->opt.start_us + settle_us || (minority && d->yielded)) {
-		d->vacant_us = 0;
+		p->yielded = false;
+	if (!p->vacant || !p->assigned_to_self ||
+	    now_us < cluster->opt.start_us + start_delay_us ||
+	    (minority && p->yielded)) {
+		p->vacant_since_us = 0;
 		return;
 	}
-	if (!d->vacant_us)
-		d->vacant_us = now_us;
-	if (now_us < d->vacant_us + claim_delay(ms, d->name, native, now_us))
+	if (!p->vacant_since_us)
+		p->vacant_since_us = now_us;
+	if (now_us < p->vacant_since_us + claim_delay_us(cluster, p->name,
+							 in_domain, now_us))
 		return;
-	if (!(native && ms->well_known) &&
-	    now_us < ms->claimed_us + CLAIM_GAP_US)
+	if (!(in_domain && cluster->plan_shared) &&
+	    now_us < cluster->last_claim_us + CLAIM_INTERVAL_US)
 		return;
-	ms->claimed_us = now_us;
-	d->raises = 0;
-	acquire(ms, d, unix_ms, sink, ctx);
+	cluster->last_claim_us = now_us;
+	p->token_raises = 0;
+	acquire(cluster, p, unix_ms, sink, ctx);
 }
 
-/* True if another instance of the domain would carry one more pool with ease
- * while this one carries many for its processor. */
-static bool better_off_elsewhere(const struct ph_cluster *ms, uint64_t now_us)
+/* ## Offers */
+
+/* Whether a live peer of the own domain would, with one more pool, still own
+ * far fewer pools per CPU than this instance. */
+static bool peer_has_spare_capacity(const struct ph_cluster *cluster,
+				    uint64_t now_us)
 {
-	uint64_t owned = ph_claims_owned(ms);
+	uint64_t owned = ph_claims_owned_count(cluster);
 	const struct ph_member *m;
 
-	for (m = ms->first; m; m = m->next) {
+	for (m = cluster->first; m; m = m->next) {
 		uint64_t after = (uint64_t)(m->claim_count + 1) *
-				 ms->opt.cpu_milli * PERCENT;
+				 cluster->opt.cpu_milli * PERCENT;
 
-		if (strcmp(m->domain, ms->opt.domain) != 0 || m->leaving ||
-		    !ph_member_live(ms, m, now_us))
+		if (strcmp(m->domain, cluster->opt.domain) != 0 || m->leaving ||
+		    !ph_member_alive(cluster, m, now_us))
 			continue;
-		if (after < owned * m->cpu_milli * OFFER_GAIN_PERCENT)
+		if (after < owned * m->cpu_milli * OFFER_MAX_LOAD_PERCENT)
 			return true;
 	}
 	return false;
 }
 
-static void offer(struct ph_cluster *ms, uint64_t now_us)
+/* Offers one owned pool of the own domain if a peer has spare capacity. */
+static void offer_pool(struct ph_cluster *cluster, uint64_t now_us)
 {
 	size_t i;
 
-	if (ms->leaving || now_us < ms->offered_us + OFFER_EVERY_US ||
-	    now_us < ms->claimed_us + OFFER_EVERY_US ||
-	    !better_off_elsewhere(ms, now_us))
+	if (cluster->leaving ||
+	    now_us < cluster->last_offer_us + OFFER_INTERVAL_US ||
+	    now_us < cluster->last_claim_us + OFFER_INTERVAL_US ||
+	    !peer_has_spare_capacity(cluster, now_us))
 		return;
-	for (i = 0; i < ms->pool_count; i++) {
-		struct ph_pool_claim *d = &ms->pools[i];
+	for (i = 0; i < cluster->pool_count; i++) {
+		struct ph_pool_claim *p = &cluster->pools[i];
 
-		if (!d->owned || !ph_pool_shard_in(d->name, ms->opt.domain))
+		if (!p->owned ||
+		    !ph_pool_shard_in(p->name, cluster->opt.domain))
 			continue;
-		ms->offered_us = now_us;
-		d->offered_until_us = now_us + OFFER_FOR_US;
-		ph_event(PART, "event=pool_offered pool=%s owned=%u", d->name,
-			 ph_claims_owned(ms));
+		cluster->last_offer_us = now_us;
+		p->offered_until_us = now_us + OFFER_DURATION_US;
+		ph_event(PART, "event=pool_offered pool=%s owned_pools=%u",
+			 p->name, ph_claims_owned_count(cluster));
 		return;
 	}
 }
 
-bool ph_cluster_offers(const struct ph_cluster *ms, uint64_t now_us,
-		       const char *pool)
+bool ph_cluster_pool_offered(const struct ph_cluster *cluster, uint64_t now_us,
+			     const char *pool)
 {
-	const struct ph_pool_claim *d = claim_find(ms, pool);
+	const struct ph_pool_claim *p = claim_find(cluster, pool);
 
-	return d && now_us < d->offered_until_us;
+	return p && now_us < p->offered_until_us;
 }
 
-/* Lifts the floor of the next token. */
-static void raise_token(struct ph_pool_claim *d)
+/* ## Rejected tokens */
+
+/* Raises the minimum of the next token. */
+static void raise_token(struct ph_pool_claim *p)
 {
-	uint64_t ms = TOKEN_RAISE_MS;
+	uint64_t raise_ms = TOKEN_RAISE_MS;
 	uint32_t i;
 
-	for (i = 0; i < d->raises; i++)
-		ms *= TOKEN_RAISE_FACTOR;
-	if (d->raises < TOKEN_RAISES_MAX)
-		d->raises++;
-	if (d->top_token < d->token)
-		d->top_token = d->token;
-	d->top_token += ms << TOKEN_SHIFT;
+	for (i = 0; i < p->token_raises; i++)
+		raise_ms *= TOKEN_RAISE_FACTOR;
+	if (p->token_raises < TOKEN_RAISES_MAX)
+		p->token_raises++;
+	if (p->highest_token < p->token)
+		p->highest_token = p->token;
+	p->highest_token += raise_ms << TOKEN_SHIFT;
 }
 
-void ph_cluster_fenced(struct ph_cluster *ms, uint64_t now_us, uint64_t unix_ms,
-		       const char *domain, const struct ph_cluster_sink *sink,
-		       void *ctx)
+void ph_cluster_fenced(struct ph_cluster *cluster, uint64_t now_us,
+		       uint64_t unix_ms, const char *domain,
+		       const struct ph_cluster_sink *sink, void *ctx)
 {
-	struct ph_pool_claim *d = claim_find(ms, domain);
+	struct ph_pool_claim *p = claim_find(cluster, domain);
 
-	if (!d || !d->owned)
+	if (!p || !p->owned)
 		return;
-	if (!ms->indexed)
-		index_claims(ms, now_us);
-	if (!d->fenced_us) {
-		ph_event(PART, "event=fenced domain=%s token=%llu minority=%d",
-			 domain, (unsigned long long)d->token,
-			 ph_cluster_minority(ms, now_us));
-		d->fenced_us = now_us;
+	if (!cluster->claims_indexed)
+		index_claims(cluster, now_us);
+	if (!p->fenced_since_us) {
+		ph_event(PART,
+			 "event=token_rejected pool=%s token=%llu minority=%d",
+			 domain, (unsigned long long)p->token,
+			 ph_cluster_minority(cluster, now_us));
+		p->fenced_since_us = now_us;
 	}
-	/* The domain's own instances are back: an adopter makes way. */
-	if (!ph_pool_shard_in(domain, ms->opt.domain)) {
-		ph_claim_release(d, sink, ctx);
+	/* Probably an instance of the pool's domain has claimed it; an owner
+	 * from another domain releases it without a wait. */
+	if (!ph_pool_shard_in(domain, cluster->opt.domain)) {
+		ph_claim_release(p, sink, ctx);
 		return;
 	}
-	/* Whoever took the pool over has greeted all; a minority that was cut
-	 * off until now needs longer to hear the others. */
-	if (now_us < d->fenced_us + (ph_cluster_minority(ms, now_us)
-					     ? CUT_FENCED_WAIT_US
-					     : FENCED_WAIT_US))
+	/* An instance that took the pool over sent heartbeats to all others at
+	 * once. A minority that was behind a partition until now needs longer
+	 * to receive them. */
+	if (now_us < p->fenced_since_us + (ph_cluster_minority(cluster, now_us)
+						   ? MINORITY_FENCED_WAIT_US
+						   : FENCED_WAIT_US))
 		return;
-	d->fenced_us = 0;
-	if (ph_cluster_minority(ms, now_us)) {
-		d->yielded = true;
-		ph_claim_release(d, sink, ctx);
+	p->fenced_since_us = 0;
+	if (ph_cluster_minority(cluster, now_us)) {
+		p->yielded = true;
+		ph_claim_release(p, sink, ctx);
 		return;
 	}
-	if (outranked(ms, d)) {
-		ph_claim_release(d, sink, ctx);
+	if (outranked(cluster, p)) {
+		ph_claim_release(p, sink, ctx);
 		return;
 	}
-	raise_token(d);
-	acquire(ms, d, unix_ms, sink, ctx);
+	raise_token(p);
+	acquire(cluster, p, unix_ms, sink, ctx);
 }
 
-void ph_claims_tick(struct ph_cluster *ms, uint64_t now_us, uint64_t unix_ms,
-		    const struct ph_cluster_sink *sink, void *ctx)
+void ph_claims_tick(struct ph_cluster *cluster, uint64_t now_us,
+		    uint64_t unix_ms, const struct ph_cluster_sink *sink,
+		    void *ctx)
 {
-	bool minority = ph_cluster_minority(ms, now_us);
+	bool minority = ph_cluster_minority(cluster, now_us);
 	bool any_vacant = false;
 	size_t i;
 
-	index_claims(ms, now_us);
-	for (i = 0; i < ms->pool_count; i++) {
-		struct ph_pool_claim *d = &ms->pools[i];
+	index_claims(cluster, now_us);
+	for (i = 0; i < cluster->pool_count; i++) {
+		struct ph_pool_claim *p = &cluster->pools[i];
 
-		if (d->owned && outranked(ms, d))
-			ph_claim_release(d, sink, ctx);
-		d->vacant = !d->owned && vacant(ms, d);
-		any_vacant = any_vacant || d->vacant;
+		if (p->owned && outranked(cluster, p))
+			ph_claim_release(p, sink, ctx);
+		p->vacant = !p->owned && vacant(cluster, p);
+		any_vacant = any_vacant || p->vacant;
 	}
 	if (any_vacant)
-		plan_claims(ms, now_us);
-	for (i = 0; i < ms->pool_count; i++)
-		if (!ms->pools[i].owned)
-			consider(ms, &ms->pools[i], minority, now_us, unix_ms,
-				 sink, ctx);
-	offer(ms, now_us);
+		plan_claims(cluster, now_us);
+	for (i = 0; i < cluster->pool_count; i++)
+		if (!cluster->pools[i].owned)
+			claim_if_due(cluster, &cluster->pools[i], minority,
+				     now_us, unix_ms, sink, ctx);
+	offer_pool(cluster, now_us);
 }
--- a/src/directory.c
+++ b/src/directory.c
@@ -56,7 +56,7 @@
 	return d->list;
 }
 
-void ph_directory_failed(struct ph_directory *d, uint64_t now_us)
+void ph_directory_read_failed(struct ph_directory *d, uint64_t now_us)
 {
 	if (!d->first_failed_us)
 		d->first_failed_us = now_us;
@@ -109,7 +109,7 @@
 
 static uint64_t chain(uint64_t hash, const char *text)
 {
-	return ph_rendezvous(hash, ph_hash_str(text));
+	return ph_rendezvous_weight(hash, ph_hash_str(text));
 }
 
 static uint64_t entry_hash(const struct ph_executor_info *x)
@@ -225,7 +225,7 @@
 	return true;
 }
 
-bool ph_directory_change(const struct ph_directory *d, uint64_t now_us,
+bool ph_directory_last_change(const struct ph_directory *d, uint64_t now_us,
 			 struct ph_list_change *change)
 {
 	change->before = d->old_digest;
--- a/src/directory.h
+++ b/src/directory.h
@@ -44,7 +44,7 @@
  * What the last read has changed, for instances that hold the list of before;
  * false if it is too large to be passed on.
  */
-bool ph_directory_change(const struct ph_directory *directory, uint64_t now_us,
+bool ph_directory_last_change(const struct ph_directory *directory, uint64_t now_us,
 			 struct ph_list_change *change);
 
 /**
@@ -61,7 +61,7 @@
 uint64_t ph_directory_digest(const struct ph_directory *directory);
 
 /** A read failed. */
-void ph_directory_failed(struct ph_directory *directory, uint64_t now_us);
+void ph_directory_read_failed(struct ph_directory *directory, uint64_t now_us);
 
 /** Age of the newest whole list; UINT64_MAX: none. */
 uint64_t ph_directory_age_us(const struct ph_directory *directory,
--- a/src/dispatcher.c
+++ b/src/dispatcher.c
@@ -105,7 +105,7 @@
 		n->mem->free(m->msg);
 		break;
 	case MAIL_REFUSED:
-		ph_cluster_refused(n->members, now_us, m->addr);
+		ph_cluster_connection_refused(n->members, now_us, m->addr);
 		break;
 	}
 	n->mem->free(m);
@@ -266,7 +266,7 @@
 		if (len && len < sizeof(seed)) {
 			memcpy(seed, at, len);
 			seed[len] = '\0';
-			ph_cluster_contact(n->members, seed);
+			ph_cluster_add_contact(n->members, seed);
 		}
 		at += len;
 		at += *at == ',';
--- a/src/dispatcher_executors.c
+++ b/src/dispatcher_executors.c
@@ -86,9 +86,9 @@
 	struct ph_poolmsg msg = { .type = PH_POOLMSG_LIST, .change = change };
 	const struct ph_member *m = NULL;
 
-	if (!ph_directory_change(n->directory, now_us, change))
+	if (!ph_directory_last_change(n->directory, now_us, change))
 		goto out;
-	while ((m = ph_cluster_near(n->members, m, now_us)))
+	while ((m = ph_cluster_next_in_domain(n->members, m, now_us)))
 		ph_dispatcher_send(n, m->addr, &msg);
 out:
 	n->mem->free(change);
@@ -103,13 +103,13 @@
 	if (!ph_directory_read(n->directory, now_us, asked_us, list, count))
 		return;
 	share_executors(n, now_us);
-	if (!ph_cluster_reader(n->members, now_us, &reader))
+	if (!ph_cluster_list_reader(n->members, now_us, &reader))
 		pass_on(n, now_us);
 }
 
 void ph_dispatcher_executors_failed(struct ph_dispatcher *n, uint64_t now_us)
 {
-	ph_directory_failed(n->directory, now_us);
+	ph_directory_read_failed(n->directory, now_us);
 }
 
 void ph_dispatcher_list_changed(struct ph_dispatcher *n,
@@ -131,7 +131,7 @@
 {
 	const struct ph_member *reader;
 
-	if (!ph_cluster_reader(n->members, now_us, &reader))
+	if (!ph_cluster_list_reader(n->members, now_us, &reader))
 		return true;
 	if (reader->list_digest == ph_directory_digest(n->directory))
 		ph_directory_confirm(n->directory, reader->list_read_us);
--- a/src/dispatcher_peers.c
+++ b/src/dispatcher_peers.c
@@ -50,7 +50,7 @@
 
 	if (!strcmp(name, n->set.name))
 		return n->addr;
-	for (m = ph_cluster_first(n->members); m; m = m->next)
+	for (m = ph_cluster_first_member(n->members); m; m = m->next)
 		if (!strcmp(m->name, name))
 			return m->addr;
 	return NULL;
@@ -180,7 +180,7 @@
 static void ask_config(struct ph_dispatcher *n, const struct ph_poolmsg *hello,
 		       uint64_t now_us)
 {
-	struct ph_poolmsg msg = { .type = PH_POOLMSG_CONFIG_WANTED };
+	struct ph_poolmsg msg = { .type = PH_POOLMSG_CONFIG_REQUEST };
 	uint64_t own = n->routing ? n->routing->version : 0;
 
 	if (hello->config_version <= own ||
@@ -211,7 +211,7 @@
 				   .reason = "no such pool here" };
 
 	msg->work = NULL;
-	ph_cluster_contact(n->members, msg->addr);
+	ph_cluster_add_contact(n->members, msg->addr);
 	ph_dispatcher_send(n, msg->addr, &reply);
 	if (result_find(n, msg->name, msg->seq)) {
 		ph_batch_request_free(n->mem, work);
@@ -252,7 +252,7 @@
 
 	switch (msg->type) {
 	case PH_POOLMSG_HEARTBEAT:
-		ph_cluster_heard(n->members, now_us, msg);
+		ph_cluster_heartbeat_received(n->members, now_us, msg);
 		learn_shards(n, msg);
 		ask_config(n, msg, now_us);
 		break;
@@ -281,7 +281,7 @@
 	case PH_POOLMSG_CANCEL_ACK:
 		ph_submitter_cancelled(n->submitter, msg->seq);
 		break;
-	case PH_POOLMSG_CONFIG_WANTED:
+	case PH_POOLMSG_CONFIG_REQUEST:
 		if (!n->doc)
 			break;
 		reply.type = PH_POOLMSG_CONFIG;
--- a/src/dispatcher_pools.c
+++ b/src/dispatcher_pools.c
@@ -139,14 +139,14 @@
 	while (d->shards < shards) {
 		ph_pool_shard_name(d->name, d->shards++, name);
 		pool_add(n, name);
-		ph_cluster_set_domains(n->members,
+		ph_cluster_add_pools(n->members,
 				       &n->pools[n->pool_count - 1].domain, 1);
 	}
 }
 
 void ph_dispatcher_contact(struct ph_dispatcher *n, const char *addr)
 {
-	ph_cluster_contact(n->members, addr);
+	ph_cluster_add_contact(n->members, addr);
 }
 
 /* ## Membership */
@@ -207,7 +207,7 @@
 			continue;
 		ph_strcopy(c->domain, sizeof(c->domain), n->pools[i].domain);
 		c->token = ph_pool_token(n->pools[i].pool);
-		c->offered = ph_cluster_offers(n->members, now_us,
+		c->offered = ph_cluster_pool_offered(n->members, now_us,
 					       n->pools[i].domain);
 		ph_pool_measure(n->pools[i].pool, now_us, &c->load);
 		msg->claim_count++;
--- a/src/dispatcher_report.c
+++ b/src/dispatcher_report.c
@@ -68,7 +68,7 @@
 	for (i = 0; i < 4; i++) {
 		snprintf(name, sizeof(name), "peridothall_response_us_%s",
 			 outcomes[i]);
-		ph_histogram_put(&n->counters.response[i], name, out);
+		ph_histogram_write(&n->counters.response[i], name, out);
 	}
 	ph_buf_printf(out,
 		      "peridothall_ready %d\n"
@@ -91,7 +91,7 @@
 		 ph_submitter_count(n->submitter), ph_dispatcher_ready(n),
 		 n->routing ? (unsigned long long)n->routing->version : 0,
 		 ph_cluster_minority(n->members, now_us));
-	for (m = ph_cluster_first(n->members); m; m = m->next)
+	for (m = ph_cluster_first_member(n->members); m; m = m->next)
 		ph_event(PART,
 			 "event=dump_member member=%s silent_us=%llu "
 			 "leaving=%d claims=%u",
--- a/src/endpoints.c
+++ b/src/endpoints.c
@@ -94,13 +94,13 @@
 static uint32_t rank_of(const struct ph_roster *roster, int self,
 			uint64_t endpoint_hash)
 {
-	uint64_t own = ph_rendezvous(endpoint_hash,
+	uint64_t own = ph_rendezvous_weight(endpoint_hash,
 				     ph_hash_str(roster->members[self].name));
 	uint32_t rank = 0;
 	size_t i;
 
 	for (i = 0; i < roster->count; i++)
-		if (ph_rendezvous(endpoint_hash,
+		if (ph_rendezvous_weight(endpoint_hash,
 				  ph_hash_str(roster->members[i].name)) > own)
 			rank++;
 	return rank;
--- a/src/histogram.c
+++ b/src/histogram.c
@@ -22,7 +22,7 @@
 	h->sum_us += us;
 }
 
-void ph_histogram_put(const struct ph_histogram *h, const char *name,
+void ph_histogram_write(const struct ph_histogram *h, const char *name,
 		      struct ph_buf *out)
 {
 	uint64_t sum = 0;
--- a/src/histogram.h
+++ b/src/histogram.h
@@ -18,7 +18,7 @@
 uint64_t ph_histogram_bound_us(uint32_t bucket);
 
 /** Writes it as Prometheus text, in microseconds. */
-void ph_histogram_put(const struct ph_histogram *histogram, const char *name,
+void ph_histogram_write(const struct ph_histogram *histogram, const char *name,
 		      struct ph_buf *out);
 
 #endif
--- a/src/ident.c
+++ b/src/ident.c
@@ -41,7 +41,7 @@
 	return ph_hash(text, strlen(text));
 }
 
-uint64_t ph_rendezvous(uint64_t key_hash, uint64_t candidate_hash)
+uint64_t ph_rendezvous_weight(uint64_t key_hash, uint64_t candidate_hash)
 {
 	uint64_t pair[2] = { key_hash, candidate_hash };
 
@@ -75,7 +75,7 @@
 	if (home >= 0)
 		return home;
 	for (i = 0; i < count; i++) {
-		uint64_t w = ph_rendezvous(key, ph_hash_str(domains[i]));
+		uint64_t w = ph_rendezvous_weight(key, ph_hash_str(domains[i]));
 
 		if (home < 0 || w > best) {
 			best = w;
--- a/src/ident.h
+++ b/src/ident.h
@@ -20,7 +20,7 @@
 uint64_t ph_hash_str(const char *text);
 
 /** Weight of a candidate for a key; the largest weight owns the key. */
-uint64_t ph_rendezvous(uint64_t key_hash, uint64_t candidate_hash);
+uint64_t ph_rendezvous_weight(uint64_t key_hash, uint64_t candidate_hash);
 
 /**
  * Index of the home failure domain of a job id among domains: its prefix up
--- a/src/pool_shard.c
+++ b/src/pool_shard.c
@@ -27,7 +27,7 @@
 	uint32_t k;
 
 	for (k = 0; k < shards; k++) {
-		uint64_t weight = ph_rendezvous(key, ph_hash(&k, sizeof(k)));
+		uint64_t weight = ph_rendezvous_weight(key, ph_hash(&k, sizeof(k)));
 
 		if (weight <= best_weight)
 			continue;
--- a/src/poolmsg.c
+++ b/src/poolmsg.c
@@ -141,7 +141,7 @@
 		return 1 + RESULT_FIELDS;
 	case PH_POOLMSG_CONFIG:
 		return 1;
-	case PH_POOLMSG_CONFIG_WANTED:
+	case PH_POOLMSG_CONFIG_REQUEST:
 		return 0;
 	case PH_POOLMSG_LIST:
 		return LIST_FIELDS + m->change->set_count * EXECUTOR_FIELDS +
@@ -170,7 +170,7 @@
 	case PH_POOLMSG_CONFIG:
 		put_bytes(pk, m->doc, m->doc_len);
 		break;
-	case PH_POOLMSG_CONFIG_WANTED:
+	case PH_POOLMSG_CONFIG_REQUEST:
 		break;
 	case PH_POOLMSG_LIST:
 		put_list(pk, m->change);
@@ -410,7 +410,7 @@
 		doc = get_bytes(r, &m->doc_len);
 		m->doc = ph_memdup(mem, doc, m->doc_len);
 		break;
-	case PH_POOLMSG_CONFIG_WANTED:
+	case PH_POOLMSG_CONFIG_REQUEST:
 		break;
 	case PH_POOLMSG_LIST:
 		m->change = mem->calloc(1, sizeof(*m->change));
--- a/src/poolmsg.h
+++ b/src/poolmsg.h
@@ -26,7 +26,7 @@
 	PH_POOLMSG_CANCEL,
 	PH_POOLMSG_CANCEL_ACK,
 	/** Asks for the configuration, and carries it. */
-	PH_POOLMSG_CONFIG_WANTED,
+	PH_POOLMSG_CONFIG_REQUEST,
 	PH_POOLMSG_CONFIG,
 	/** What changed in the list of executors, to the sender's domain. */
 	PH_POOLMSG_LIST,
--- a/src/roster.c
+++ b/src/roster.c
@@ -136,7 +136,7 @@
 	size_t i;
 
 	for (i = 0; i < roster->count; i++) {
-		uint64_t w = ph_rendezvous(
+		uint64_t w = ph_rendezvous_weight(
 			key, ph_hash_str(roster->members[i].name));
 
 		if (pair.primary < 0 || w > first) {
--- a/src/submitter.c
+++ b/src/submitter.c
@@ -301,7 +301,7 @@
 	size_t n = 0;
 	uint32_t i;
 
-	for (i = 0; (domain = ph_cluster_domain(f->opt.members, i)); i++) {
+	for (i = 0; (domain = ph_cluster_pool_name(f->opt.members, i)); i++) {
 		if (i == f->pool_count)
 			grow_pools(f);
 		if (was_refused(j, i) || !look_up(f, i, domain, now_us, &o))
@@ -319,7 +319,7 @@
 	i = f->choices[f->opt.policy->pick(f->choices, n,
 					   ph_hash_str(j->work->job))]
 		    .pool;
-	domain = ph_cluster_domain(f->opt.members, i);
+	domain = ph_cluster_pool_name(f->opt.members, i);
 	if (!look_up(f, i, domain, now_us, &j->owner))
 		return false;
 	ph_strcopy(j->domain, sizeof(j->domain), domain);
@@ -620,7 +620,7 @@
 static void job_tick(struct ph_submitter *f, struct job *j, uint64_t now_us)
 {
 	bool lost = j->homeless ||
-		    !ph_cluster_owner_lives(f->opt.members, now_us, &j->owner);
+		    !ph_cluster_owner_alive(f->opt.members, now_us, &j->owner);
 
 	if (j->unplaced) {
 		dispatch(f, j, now_us);
--- a/test/submitter_world.cc
+++ b/test/submitter_world.cc
@@ -144,7 +144,7 @@
 			char name[1][PH_NAME_BYTES];
 
 			snprintf(name[0], PH_NAME_BYTES, "%s", p.name.c_str());
-			ph_cluster_set_domains(f->members, name, 1);
+			ph_cluster_add_pools(f->members, name, 1);
 		}
 		o.mem = ph_mem_default();
 		o.name = m.name;
@@ -222,7 +222,7 @@
 			backlog += t.run_us * kTaskMilli;
 		c->load.backlog_milli_us = backlog;
 		for (auto &f : fronts)
-			ph_cluster_heard(f->members, now_us, &m);
+			ph_cluster_heartbeat_received(f->members, now_us, &m);
 	}
 }
 
--- a/test/test_cluster.cc
+++ b/test/test_cluster.cc
@@ -95,14 +95,14 @@
 			snprintf(c->domain, sizeof(c->domain), "%s",
 				 o.first.c_str());
 			c->token = o.second;
-			c->offered = ph_cluster_offers(
+			c->offered = ph_cluster_pool_offered(
 				from->members, net->now_us, o.first.c_str());
 		}
 		if (net->group[from->name] != net->group[to])
 			return;
 		if (!net->find(to)->up) {
 			net->events.emplace(net->now_us + kMs, [net, from, to] {
-				ph_cluster_refused(from->members, net->now_us,
+				ph_cluster_connection_refused(from->members, net->now_us,
 						   to.c_str());
 			});
 			return;
@@ -111,7 +111,7 @@
 			Node *n = net->find(to);
 
 			if (n && n->up && !n->frozen)
-				ph_cluster_heard(n->members, net->now_us,
+				ph_cluster_heartbeat_received(n->members, net->now_us,
 						 msg.get());
 		});
 	}
@@ -151,10 +151,10 @@
 			char name[1][PH_NAME_BYTES];
 
 			snprintf(name[0], sizeof(name[0]), "%s", p.c_str());
-			ph_cluster_set_domains(n->members, name, 1);
+			ph_cluster_add_pools(n->members, name, 1);
 		}
 		for (auto &other : nodes)
-			ph_cluster_contact(n->members, other->name.c_str());
+			ph_cluster_add_contact(n->members, other->name.c_str());
 	}
 
 	void add(const std::string &name, const std::string &domain,
@@ -524,7 +524,7 @@
 	ph_cluster *members = ph_cluster_new(&o);
 
 	for (int i = 0; i < kContacts; i++)
-		ph_cluster_contact(members, ("c" + std::to_string(i)).c_str());
+		ph_cluster_add_contact(members, ("c" + std::to_string(i)).c_str());
 	ph_cluster_tick(members, 1000 * kMs, kUnixMs, &sink, &greeted);
 	EXPECT_EQ(greeted.size(), (size_t)kContacts);
 	ph_cluster_free(members);
@@ -628,7 +628,7 @@
 
 			if (!n->up)
 				continue;
-			bool other = ph_cluster_reader(n->members, net.now_us,
+			bool other = ph_cluster_list_reader(n->members, net.now_us,
 						       &reader);
 
 			EXPECT_EQ(other, *c.reader && n->name != c.reader);
--- a/test/test_directory.cc
+++ b/test/test_directory.cc
@@ -80,7 +80,7 @@
 				ph_directory_read(d, now, now, list.data(),
 						  list.size());
 			else
-				ph_directory_failed(d, now);
+				ph_directory_read_failed(d, now);
 			in_force = ph_directory_list(d, &count);
 			for (size_t i = 0; i < count; i++)
 				got += in_force[i].id;
@@ -155,7 +155,7 @@
 		list = entries(c.second);
 		EXPECT_TRUE(ph_directory_read(from, 601000, 600000, list.data(),
 					      list.size()));
-		ASSERT_TRUE(ph_directory_change(from, 601000, change.get()));
+		ASSERT_TRUE(ph_directory_last_change(from, 601000, change.get()));
 		EXPECT_EQ(ph_directory_apply(to, 601500, change.get()), alike);
 		EXPECT_EQ(shown(to), c.after);
 		if (alike) {
@@ -184,7 +184,7 @@
 			snprintf(list[i].id, PH_NAME_BYTES, "x%zu", i);
 		ph_directory_read(d, 1000, 1000, list.data(), 1);
 		ph_directory_read(d, 2000, 2000, list.data(), list.size());
-		EXPECT_EQ(ph_directory_change(d, 2000, change.get()), !extra);
+		EXPECT_EQ(ph_directory_last_change(d, 2000, change.get()), !extra);
 		ph_directory_free(d);
 	}
 }
--- a/test/test_submitter.cc
+++ b/test/test_submitter.cc
@@ -62,7 +62,7 @@
 		m.suspect_us = 350 * kMs;
 		m.cpu_milli = 250;
 		members = ph_cluster_new(&m);
-		ph_cluster_set_domains(members, pools, 2);
+		ph_cluster_add_pools(members, pools, 2);
 		f.mem = ph_mem_default();
 		f.name = "n1";
 		f.domain = "north";
@@ -123,7 +123,7 @@
 		m.claims[0].load.capacity_milli = 64000;
 		m.claims[0].load.free_milli = free_milli;
 		m.claims[0].load.backlog_milli_us = backlog;
-		ph_cluster_heard(members, now_us, &m);
+		ph_cluster_heartbeat_received(members, now_us, &m);
 	}
 
 	void submit(uint64_t token)
