--- a/src/cluster.h
+++ b/src/cluster.h
@@ -178,7 +178,7 @@
  * pool or acquires it again under a higher token.
  */
 void ph_cluster_fenced(struct ph_cluster *cluster, uint64_t now_us,
-		       uint64_t unix_ms, const char *domain,
+		       uint64_t unix_ms, const char *pool,
 		       const struct ph_cluster_sink *sink, void *ctx);
 
 /**
--- a/src/cluster_ownership.c
+++ b/src/cluster_ownership.c
@@ -12,28 +12,32 @@
 /* Time for which a pool has to be vacant before an instance of its domain
  * claims it, so that heartbeats with a claim of another instance can arrive. */
 #define CLAIM_AFTER_US 100000U
-/* The same before an instance of another domain takes the pool over, and before
- * an instance in a minority claims one: the other instances are probably behind
- * a network partition rather than dead. */
+/* Time for which a pool has to be vacant before an instance of another domain
+ * takes it over while instances of its own domain may be running behind a
+ * network partition. */
 #define TAKE_OVER_AFTER_US 2000000U
+/* Time for which a pool has to be vacant before an instance in a minority
+ * claims it: the other instances are probably behind a network partition, not
+ * dead. */
 #define MINORITY_CLAIM_AFTER_US 3000000U
-/* Time from the start of an instance to its first claim: enough to read the
- * list of the other instances and to exchange a heartbeat with each. Instances
- * that start later then hear of the claim. */
+/* Time from the start of an instance to its first claim of a pool of its own
+ * domain: enough to read the list of the other instances and to exchange a
+ * heartbeat with each. Instances that start later hear of the claim in time. */
 #define START_CLAIM_DELAY_US 200000U
-/* The same for pools of other domains, whose own instances may be starting. */
+/* Time from the start of an instance to its first claim of a pool of another
+ * domain, so that the instances of that domain can claim it first. */
 #define START_TAKE_OVER_DELAY_US 2000000U
-/* Wait after executors first reject the token, so that the heartbeat with the
- * claim that outdates it can arrive. */
+/* Time between the first rejection of a token by an executor and the reaction,
+ * so that the heartbeat with the claim behind the rejection can arrive. */
 #define FENCED_WAIT_US 100000U
-/* The same in a minority: after a network partition the connections to the
- * other instances have to recover first. */
+/* Time between the first rejection of a token and the reaction of an instance
+ * in a minority, whose connections may have to recover from a partition. */
 #define MINORITY_FENCED_WAIT_US 300000U
 /* Least time between two claims of an instance, so that the other instances
  * hear of the first claim before the second is decided on. */
 #define CLAIM_INTERVAL_US 60000U
-/* Live instances of a domain from which on its pools are claimed without that
- * interval, since all of them compute the same claim plan. */
+/* Number of live instances of a domain from which on its pools are claimed
+ * without CLAIM_INTERVAL_US, since all of them compute the same claim plan. */
 #define PLAN_MIN_INSTANCES 4U
 /* Least time between two offers of a pool to less loaded instances, and between
  * a claim and an offer. */
@@ -99,7 +103,7 @@
 									  : b;
 }
 
-/* Counts one claim of a peer in the state of the claimed pool. */
+/* Updates the claimants of a pool with one claim of a peer. */
 static void index_claim(struct ph_cluster *cluster, const struct ph_member *m,
 			uint32_t i, uint64_t now_us)
 {
@@ -574,10 +578,10 @@
 }
 
 void ph_cluster_fenced(struct ph_cluster *cluster, uint64_t now_us,
-		       uint64_t unix_ms, const char *domain,
+		       uint64_t unix_ms, const char *pool,
 		       const struct ph_cluster_sink *sink, void *ctx)
 {
-	struct ph_pool_claim *p = claim_find(cluster, domain);
+	struct ph_pool_claim *p = claim_find(cluster, pool);
 
 	if (!p || !p->owned)
 		return;
@@ -586,13 +590,13 @@
 	if (!p->fenced_since_us) {
 		ph_event(PART,
 			 "event=token_rejected pool=%s token=%llu minority=%d",
-			 domain, (unsigned long long)p->token,
+			 pool, (unsigned long long)p->token,
 			 ph_cluster_minority(cluster, now_us));
 		p->fenced_since_us = now_us;
 	}
 	/* Probably an instance of the pool's domain has claimed it; an owner
 	 * from another domain releases it without a wait. */
-	if (!ph_pool_shard_in(domain, cluster->opt.domain)) {
+	if (!ph_pool_shard_in(pool, cluster->opt.domain)) {
 		ph_claim_release(p, sink, ctx);
 		return;
 	}
