--- a/fuzz/fuzz_poolmsg.c
+++ b/fuzz/fuzz_poolmsg.c
@@ -1,4 +1,4 @@
-/* Decoder of messages between instances about pools. */
+/* Fuzz target: decodes arbitrary bytes as a message between instances. */
 
 #include <stdint.h>
 
--- a/src/directory.c
+++ b/src/directory.c
@@ -6,25 +6,28 @@
 #include "log.h"
 
 #define PART "directory"
-/* The platform's bound: entries that lapsed while its store was away are back
- * within two seconds of its return; half a second for the read itself. */
-#define COME_BACK_US 2500000U
-/* Reads that fail for longer than this mean that the store is away. */
-#define AWAY_US 1000000U
+/* Time after an outage for which missing entries are retained. The platform
+ * guarantees that entries which expired while its store was unavailable are
+ * listed again within 2 s of its return; a read may take another 0.5 s. */
+#define RETAIN_MISSING_US 2500000U
+/* Reads that fail for longer than this count as an outage of the store. */
+#define OUTAGE_MIN_US 1000000U
 
 struct ph_directory {
 	const struct ph_mem *mem;
 	struct ph_executor_info *list;
 	size_t count;
 	uint64_t digest;
-	/** The list before the last read, for what changed. */
-	struct ph_executor_info *old;
-	size_t old_count;
-	uint64_t old_digest;
+	/** The list that the current one replaced, to compute the change. */
+	struct ph_executor_info *previous;
+	size_t previous_count;
+	uint64_t previous_digest;
+	/** When the read that last gave or confirmed the list was sent. */
 	uint64_t read_us;
+	/** First failure since the last successful read; 0: none. */
 	uint64_t first_failed_us;
-	/** Missing entries are kept until then. */
-	uint64_t keep_until_us;
+	/** Until this time missing entries stay in the list. */
+	uint64_t retain_until_us;
 };
 
 struct ph_directory *ph_directory_new(const struct ph_mem *mem)
@@ -40,7 +43,7 @@
 	if (!d)
 		return;
 	d->mem->free(d->list);
-	d->mem->free(d->old);
+	d->mem->free(d->previous);
 	d->mem->free(d);
 }
 
@@ -70,7 +73,7 @@
 	return strcmp(x->id, y->id);
 }
 
-/* Finds an entry in a list that is sorted by id. */
+/* Finds an entry in a list that is sorted by id; NULL if there is none. */
 static const struct ph_executor_info *find(const struct ph_executor_info *list,
 					   size_t count, const char *id)
 {
@@ -81,17 +84,19 @@
 		     : NULL;
 }
 
+/* Logs entries that are new, start or stop draining, or are missing in a list
+ * compared with the current one. */
 static void log_changes(const struct ph_directory *d,
 			const struct ph_executor_info *list, size_t count,
-			bool keep)
+			bool retain)
 {
 	size_t i;
 
 	for (i = 0; i < count; i++) {
-		const struct ph_executor_info *old =
+		const struct ph_executor_info *previous =
 			find(d->list, d->count, list[i].id);
 
-		if (!old || old->draining != list[i].draining)
+		if (!previous || previous->draining != list[i].draining)
 			ph_event(PART,
 				 "event=executor_listed executor=%s domain=%s "
 				 "draining=%d cpu_milli=%u",
@@ -101,13 +106,14 @@
 	for (i = 0; i < d->count; i++)
 		if (!find(list, count, d->list[i].id))
 			ph_event(PART,
-				 "event=executor_unlisted executor=%s kept=%d",
-				 d->list[i].id, keep);
+				 "event=executor_unlisted executor=%s "
+				 "retained=%d",
+				 d->list[i].id, retain);
 }
 
 /* ## Digests */
 
-static uint64_t chain(uint64_t hash, const char *text)
+static uint64_t combine_hash(uint64_t hash, const char *text)
 {
 	return ph_rendezvous_weight(hash, ph_hash_str(text));
 }
@@ -118,13 +124,14 @@
 			       x->capacity.gpu, x->draining };
 	uint64_t hash = ph_hash(numbers, sizeof(numbers));
 
-	hash = chain(hash, x->id);
-	hash = chain(hash, x->addr);
-	hash = chain(hash, x->domain);
-	hash = chain(hash, x->service);
-	return chain(hash, x->labels);
+	hash = combine_hash(hash, x->id);
+	hash = combine_hash(hash, x->addr);
+	hash = combine_hash(hash, x->domain);
+	hash = combine_hash(hash, x->service);
+	return combine_hash(hash, x->labels);
 }
 
+/* Digest of a list; does not depend on the order of its entries. */
 static uint64_t digest_of(const struct ph_executor_info *list, size_t count)
 {
 	uint64_t digest = count;
@@ -142,8 +149,9 @@
 
 /* ## Reads */
 
-/* Takes a sorted list over; true if it is another than the one in force. */
-static bool put_in_force(struct ph_directory *d, struct ph_executor_info *list,
+/* Makes a list sorted by id the current one, and takes ownership of it. Returns
+ * false, and frees it, if its content is that of the current list. */
+static bool replace_list(struct ph_directory *d, struct ph_executor_info *list,
 			 size_t count)
 {
 	uint64_t digest = digest_of(list, count);
@@ -152,10 +160,10 @@
 		d->mem->free(list);
 		return false;
 	}
-	d->mem->free(d->old);
-	d->old = d->list;
-	d->old_count = d->count;
-	d->old_digest = ph_directory_digest(d);
+	d->mem->free(d->previous);
+	d->previous = d->list;
+	d->previous_count = d->count;
+	d->previous_digest = ph_directory_digest(d);
 	d->list = list;
 	d->count = count;
 	d->digest = digest;
@@ -166,85 +174,85 @@
 		       uint64_t asked_us, const struct ph_executor_info *list,
 		       size_t count)
 {
-	struct ph_executor_info *fresh;
+	struct ph_executor_info *next;
 	size_t n = count;
-	bool keep;
+	bool retain;
 	size_t i;
 
-	if (d->first_failed_us && asked_us > d->first_failed_us + AWAY_US)
-		d->keep_until_us = now_us + COME_BACK_US;
+	if (d->first_failed_us && asked_us > d->first_failed_us + OUTAGE_MIN_US)
+		d->retain_until_us = now_us + RETAIN_MISSING_US;
 	d->first_failed_us = 0;
 	if (!count)
 		return false;
-	keep = now_us < d->keep_until_us;
-	fresh = d->mem->calloc(count + d->count, sizeof(*fresh));
-	memcpy(fresh, list, count * sizeof(*fresh));
-	qsort(fresh, count, sizeof(*fresh), compare);
-	log_changes(d, fresh, count, keep);
-	for (i = 0; keep && i < d->count; i++)
-		if (!find(fresh, count, d->list[i].id))
-			fresh[n++] = d->list[i];
-	qsort(fresh, n, sizeof(*fresh), compare);
+	retain = now_us < d->retain_until_us;
+	next = d->mem->calloc(count + d->count, sizeof(*next));
+	memcpy(next, list, count * sizeof(*next));
+	qsort(next, count, sizeof(*next), compare);
+	log_changes(d, next, count, retain);
+	for (i = 0; retain && i < d->count; i++)
+		if (!find(next, count, d->list[i].id))
+			next[n++] = d->list[i];
+	qsort(next, n, sizeof(*next), compare);
 	d->read_us = asked_us;
-	return put_in_force(d, fresh, n);
+	return replace_list(d, next, n);
 }
 
 /* ## Changes */
 
-static bool add_changed(const struct ph_directory *d,
+static bool add_updated(const struct ph_directory *d,
 			struct ph_list_change *change)
 {
 	size_t i;
 
 	for (i = 0; i < d->count; i++) {
-		const struct ph_executor_info *old =
-			find(d->old, d->old_count, d->list[i].id);
+		const struct ph_executor_info *previous =
+			find(d->previous, d->previous_count, d->list[i].id);
 
-		if (old && entry_hash(old) == entry_hash(&d->list[i]))
+		if (previous && entry_hash(previous) == entry_hash(&d->list[i]))
 			continue;
-		if (change->set_count == PH_LIST_CHANGES_MAX)
+		if (change->updated_count == PH_LIST_CHANGES_MAX)
 			return false;
-		change->set[change->set_count++] = d->list[i];
+		change->updated[change->updated_count++] = d->list[i];
 	}
 	return true;
 }
 
-static bool add_gone(const struct ph_directory *d,
-		     struct ph_list_change *change)
+static bool add_removed(const struct ph_directory *d,
+			struct ph_list_change *change)
 {
 	size_t i;
 
-	for (i = 0; i < d->old_count; i++) {
-		if (find(d->list, d->count, d->old[i].id))
+	for (i = 0; i < d->previous_count; i++) {
+		if (find(d->list, d->count, d->previous[i].id))
 			continue;
-		if (change->gone_count == PH_LIST_CHANGES_MAX)
+		if (change->removed_count == PH_LIST_CHANGES_MAX)
 			return false;
-		ph_strcopy(change->gone[change->gone_count++], PH_NAME_BYTES,
-			   d->old[i].id);
+		ph_strcopy(change->removed[change->removed_count++],
+			   PH_NAME_BYTES, d->previous[i].id);
 	}
 	return true;
 }
 
 bool ph_directory_last_change(const struct ph_directory *d, uint64_t now_us,
-			 struct ph_list_change *change)
+			      struct ph_list_change *change)
 {
-	change->before = d->old_digest;
-	change->after = ph_directory_digest(d);
+	change->digest_before = d->previous_digest;
+	change->digest_after = ph_directory_digest(d);
 	change->age_us = now_us - d->read_us;
-	change->set_count = 0;
-	change->gone_count = 0;
-	return add_changed(d, change) && add_gone(d, change);
+	change->updated_count = 0;
+	change->removed_count = 0;
+	return add_updated(d, change) && add_removed(d, change);
 }
 
-static bool is_touched(const struct ph_list_change *change, const char *id)
+static bool is_in_change(const struct ph_list_change *change, const char *id)
 {
 	size_t i;
 
-	for (i = 0; i < change->gone_count; i++)
-		if (!strcmp(change->gone[i], id))
+	for (i = 0; i < change->removed_count; i++)
+		if (!strcmp(change->removed[i], id))
 			return true;
-	for (i = 0; i < change->set_count; i++)
-		if (!strcmp(change->set[i].id, id))
+	for (i = 0; i < change->updated_count; i++)
+		if (!strcmp(change->updated[i].id, id))
 			return true;
 	return false;
 }
@@ -252,26 +260,26 @@
 bool ph_directory_apply(struct ph_directory *d, uint64_t now_us,
 			const struct ph_list_change *change)
 {
-	struct ph_executor_info *fresh;
+	struct ph_executor_info *next;
 	size_t n = 0;
 	size_t i;
 
-	if (!d->count || d->digest != change->before)
+	if (!d->count || d->digest != change->digest_before)
 		return false;
-	fresh = d->mem->calloc(d->count + change->set_count, sizeof(*fresh));
+	next = d->mem->calloc(d->count + change->updated_count, sizeof(*next));
 	for (i = 0; i < d->count; i++)
-		if (!is_touched(change, d->list[i].id))
-			fresh[n++] = d->list[i];
-	for (i = 0; i < change->set_count; i++)
-		fresh[n++] = change->set[i];
-	qsort(fresh, n, sizeof(*fresh), compare);
-	if (!n || digest_of(fresh, n) != change->after) {
-		d->mem->free(fresh);
+		if (!is_in_change(change, d->list[i].id))
+			next[n++] = d->list[i];
+	for (i = 0; i < change->updated_count; i++)
+		next[n++] = change->updated[i];
+	qsort(next, n, sizeof(*next), compare);
+	if (!n || digest_of(next, n) != change->digest_after) {
+		d->mem->free(next);
 		return false;
 	}
-	log_changes(d, fresh, n, false);
+	log_changes(d, next, n, false);
 	ph_directory_confirm(d, now_us - change->age_us);
-	return put_in_force(d, fresh, n);
+	return replace_list(d, next, n);
 }
 
 void ph_directory_confirm(struct ph_directory *d, uint64_t read_us)
--- a/src/poolmsg.c
+++ b/src/poolmsg.c
@@ -6,10 +6,12 @@
 #include "msg.h"
 #include "poolmsg.h"
 
-#define HEAD_FIELDS 6U
-#define HELLO_FIELDS 10U
+/* Number of array elements of each part of a message, not counting the entries
+ * of lists. */
+#define HEADER_FIELDS 6U
+#define HEARTBEAT_FIELDS 10U
 #define CLAIM_FIELDS 9U
-#define WORK_FIELDS 19U
+#define BATCH_REQUEST_FIELDS 19U
 #define RESULT_FIELDS 5U
 #define LIST_FIELDS 5U
 #define EXECUTOR_FIELDS 9U
@@ -33,10 +35,12 @@
 	put_bytes(pk, text, strlen(text));
 }
 
-/* Both ends of a deployment have the same byte order. */
-static void put_where(msgpack_packer *pk, const uint32_t *where, uint32_t count)
+/* Packs short executor ids in native byte order: all instances of a deployment
+ * have the same one. */
+static void put_executor_ids(msgpack_packer *pk, const uint32_t *ids,
+			     uint32_t count)
 {
-	put_bytes(pk, where, count * sizeof(*where));
+	put_bytes(pk, ids, count * sizeof(*ids));
 }
 
 static void put_claim(msgpack_packer *pk, const struct ph_claim *c)
@@ -52,7 +56,7 @@
 	msgpack_pack_uint32(pk, c->load.batches);
 }
 
-static void put_hello(msgpack_packer *pk, const struct ph_poolmsg *m)
+static void put_heartbeat(msgpack_packer *pk, const struct ph_poolmsg *m)
 {
 	uint32_t i;
 
@@ -70,7 +74,8 @@
 		put_claim(pk, &m->claims[i]);
 }
 
-static void put_work(msgpack_packer *pk, const struct ph_batch_request *w)
+static void put_batch_request(msgpack_packer *pk,
+			      const struct ph_batch_request *w)
 {
 	put_str(pk, w->job);
 	put_str(pk, w->service);
@@ -90,7 +95,7 @@
 	msgpack_pack_uint64(pk, w->first_run);
 	msgpack_pack_uint32(pk, w->resumed);
 	put_bytes(pk, w->done, sizeof(w->done));
-	put_where(pk, w->where, w->resumed ? w->count : 0);
+	put_executor_ids(pk, w->where, w->resumed ? w->count : 0);
 }
 
 static void put_result(msgpack_packer *pk, const struct ph_result *r)
@@ -99,7 +104,7 @@
 	msgpack_pack_uint64(pk, r->retry_after_us);
 	put_str(pk, r->reason ? r->reason : "");
 	put_bytes(pk, r->done, sizeof(r->done));
-	put_where(pk, r->where, r->count);
+	put_executor_ids(pk, r->where, r->count);
 }
 
 static void put_executor(msgpack_packer *pk, const struct ph_executor_info *x)
@@ -115,28 +120,28 @@
 	msgpack_pack_uint32(pk, x->draining);
 }
 
-static void put_list(msgpack_packer *pk, const struct ph_list_change *c)
+static void put_list_change(msgpack_packer *pk, const struct ph_list_change *c)
 {
 	size_t i;
 
-	msgpack_pack_uint64(pk, c->before);
-	msgpack_pack_uint64(pk, c->after);
+	msgpack_pack_uint64(pk, c->digest_before);
+	msgpack_pack_uint64(pk, c->digest_after);
 	msgpack_pack_uint64(pk, c->age_us);
-	msgpack_pack_uint64(pk, c->set_count);
-	msgpack_pack_uint64(pk, c->gone_count);
-	for (i = 0; i < c->set_count; i++)
-		put_executor(pk, &c->set[i]);
-	for (i = 0; i < c->gone_count; i++)
-		put_str(pk, c->gone[i]);
+	msgpack_pack_uint64(pk, c->updated_count);
+	msgpack_pack_uint64(pk, c->removed_count);
+	for (i = 0; i < c->updated_count; i++)
+		put_executor(pk, &c->updated[i]);
+	for (i = 0; i < c->removed_count; i++)
+		put_str(pk, c->removed[i]);
 }
 
 static size_t body_fields(const struct ph_poolmsg *m)
 {
 	switch (m->type) {
 	case PH_POOLMSG_HEARTBEAT:
-		return HELLO_FIELDS + m->claim_count * CLAIM_FIELDS;
+		return HEARTBEAT_FIELDS + m->claim_count * CLAIM_FIELDS;
 	case PH_POOLMSG_SUBMIT:
-		return 3 + WORK_FIELDS;
+		return 3 + BATCH_REQUEST_FIELDS;
 	case PH_POOLMSG_RESULT:
 		return 1 + RESULT_FIELDS;
 	case PH_POOLMSG_CONFIG:
@@ -144,8 +149,9 @@
 	case PH_POOLMSG_CONFIG_REQUEST:
 		return 0;
 	case PH_POOLMSG_LIST:
-		return LIST_FIELDS + m->change->set_count * EXECUTOR_FIELDS +
-		       m->change->gone_count;
+		return LIST_FIELDS +
+		       m->change->updated_count * EXECUTOR_FIELDS +
+		       m->change->removed_count;
 	default:
 		return 1;
 	}
@@ -155,13 +161,13 @@
 {
 	switch (m->type) {
 	case PH_POOLMSG_HEARTBEAT:
-		put_hello(pk, m);
+		put_heartbeat(pk, m);
 		break;
 	case PH_POOLMSG_SUBMIT:
 		msgpack_pack_uint64(pk, m->seq);
 		put_str(pk, m->pool);
 		msgpack_pack_uint64(pk, m->owner_incarnation);
-		put_work(pk, m->work);
+		put_batch_request(pk, m->work);
 		break;
 	case PH_POOLMSG_RESULT:
 		msgpack_pack_uint64(pk, m->seq);
@@ -173,7 +179,7 @@
 	case PH_POOLMSG_CONFIG_REQUEST:
 		break;
 	case PH_POOLMSG_LIST:
-		put_list(pk, m->change);
+		put_list_change(pk, m->change);
 		break;
 	default:
 		msgpack_pack_uint64(pk, m->seq);
@@ -189,7 +195,7 @@
 
 	ph_buf_put(out, &len, sizeof(len));
 	msgpack_packer_init(&pk, out, buf_write);
-	msgpack_pack_array(&pk, HEAD_FIELDS + body_fields(m));
+	msgpack_pack_array(&pk, HEADER_FIELDS + body_fields(m));
 	msgpack_pack_uint32(&pk, PH_POOLMSG_PROTOCOL);
 	msgpack_pack_uint32(&pk, (uint32_t)m->type);
 	put_str(&pk, m->name);
@@ -203,14 +209,15 @@
 
 /* ## Decoding */
 
-/* Walks the fields of an array; the first fault sticks. */
+/* Reads the elements of an array in turn. After the first invalid element bad
+ * stays set, and numbers read as 0 and bytes as empty. */
 struct reader {
 	const msgpack_object *at;
 	size_t left;
 	bool bad;
 };
 
-static uint64_t get_number(struct reader *r, uint64_t max)
+static uint64_t get_uint(struct reader *r, uint64_t max)
 {
 	uint64_t n;
 
@@ -228,12 +235,12 @@
 
 static uint32_t get_u32(struct reader *r)
 {
-	return (uint32_t)get_number(r, UINT32_MAX);
+	return (uint32_t)get_uint(r, UINT32_MAX);
 }
 
 static uint64_t get_u64(struct reader *r)
 {
-	return get_number(r, UINT64_MAX);
+	return get_uint(r, UINT64_MAX);
 }
 
 static const char *get_bytes(struct reader *r, size_t *len)
@@ -276,17 +283,17 @@
 		memcpy(bits, data, size);
 }
 
-static uint32_t get_where(struct reader *r, uint32_t *where)
+static uint32_t get_executor_ids(struct reader *r, uint32_t *ids)
 {
 	size_t len;
 	const char *data = get_bytes(r, &len);
 
-	if (len > PH_MAX_TASKS * sizeof(*where) || len % sizeof(*where)) {
+	if (len > PH_MAX_TASKS * sizeof(*ids) || len % sizeof(*ids)) {
 		r->bad = true;
 		return 0;
 	}
-	memcpy(where, data, len);
-	return (uint32_t)(len / sizeof(*where));
+	memcpy(ids, data, len);
+	return (uint32_t)(len / sizeof(*ids));
 }
 
 static void get_claim(struct reader *r, struct ph_claim *c)
@@ -302,7 +309,7 @@
 	c->load.batches = get_u32(r);
 }
 
-static void get_hello(struct reader *r, struct ph_poolmsg *m)
+static void get_heartbeat(struct reader *r, struct ph_poolmsg *m)
 {
 	uint32_t i;
 
@@ -315,13 +322,13 @@
 	m->shards = get_u32(r);
 	m->list_digest = get_u64(r);
 	m->list_age_us = get_u64(r);
-	m->claim_count = (uint32_t)get_number(r, PH_CLAIMS_MAX);
+	m->claim_count = (uint32_t)get_uint(r, PH_CLAIMS_MAX);
 	for (i = 0; i < m->claim_count; i++)
 		get_claim(r, &m->claims[i]);
 }
 
-static void get_work(const struct ph_mem *mem, struct reader *r,
-		     struct ph_batch_request *w)
+static void get_batch_request(const struct ph_mem *mem, struct reader *r,
+			      struct ph_batch_request *w)
 {
 	const char *spec;
 
@@ -330,7 +337,7 @@
 	get_str(r, w->label, sizeof(w->label));
 	spec = get_bytes(r, &w->spec_len);
 	w->spec = ph_memdup(mem, spec, w->spec_len);
-	w->count = (uint32_t)get_number(r, PH_MAX_TASKS);
+	w->count = (uint32_t)get_uint(r, PH_MAX_TASKS);
 	w->need.cpu_milli = get_u32(r);
 	w->need.mem_mb = get_u32(r);
 	w->need.gpu = get_u32(r);
@@ -344,18 +351,19 @@
 	w->first_run = get_u64(r);
 	w->resumed = get_u32(r) != 0;
 	get_bits(r, w->done, sizeof(w->done));
-	if (get_where(r, w->where) != (w->resumed ? w->count : 0) || !w->count)
+	if (get_executor_ids(r, w->where) != (w->resumed ? w->count : 0) ||
+	    !w->count)
 		r->bad = true;
 }
 
 static void get_result(struct reader *r, struct ph_poolmsg *m)
 {
-	m->result.verdict = (enum ph_verdict)get_number(r, PH_VERDICT_MOVED);
+	m->result.verdict = (enum ph_verdict)get_uint(r, PH_VERDICT_MOVED);
 	m->result.retry_after_us = get_u64(r);
 	get_str(r, m->reason_text, sizeof(m->reason_text));
 	m->result.reason = m->reason_text;
 	get_bits(r, m->result.done, sizeof(m->result.done));
-	m->result.count = get_where(r, m->result.where);
+	m->result.count = get_executor_ids(r, m->result.where);
 }
 
 static void get_executor(struct reader *r, struct ph_executor_info *x)
@@ -371,19 +379,19 @@
 	x->draining = get_u32(r) != 0;
 }
 
-static void get_list(struct reader *r, struct ph_list_change *c)
+static void get_list_change(struct reader *r, struct ph_list_change *c)
 {
 	size_t i;
 
-	c->before = get_u64(r);
-	c->after = get_u64(r);
+	c->digest_before = get_u64(r);
+	c->digest_after = get_u64(r);
 	c->age_us = get_u64(r);
-	c->set_count = get_number(r, PH_LIST_CHANGES_MAX);
-	c->gone_count = get_number(r, PH_LIST_CHANGES_MAX);
-	for (i = 0; i < c->set_count; i++)
-		get_executor(r, &c->set[i]);
-	for (i = 0; i < c->gone_count; i++)
-		get_str(r, c->gone[i], sizeof(c->gone[i]));
+	c->updated_count = get_uint(r, PH_LIST_CHANGES_MAX);
+	c->removed_count = get_uint(r, PH_LIST_CHANGES_MAX);
+	for (i = 0; i < c->updated_count; i++)
+		get_executor(r, &c->updated[i]);
+	for (i = 0; i < c->removed_count; i++)
+		get_str(r, c->removed[i], sizeof(c->removed[i]));
 }
 
 static void get_body(const struct ph_mem *mem, struct reader *r,
@@ -393,14 +401,14 @@
 
 	switch (m->type) {
 	case PH_POOLMSG_HEARTBEAT:
-		get_hello(r, m);
+		get_heartbeat(r, m);
 		break;
 	case PH_POOLMSG_SUBMIT:
 		m->seq = get_u64(r);
 		get_str(r, m->pool, sizeof(m->pool));
 		m->owner_incarnation = get_u64(r);
 		m->work = mem->calloc(1, sizeof(*m->work));
-		get_work(mem, r, m->work);
+		get_batch_request(mem, r, m->work);
 		break;
 	case PH_POOLMSG_RESULT:
 		m->seq = get_u64(r);
@@ -414,7 +422,7 @@
 		break;
 	case PH_POOLMSG_LIST:
 		m->change = mem->calloc(1, sizeof(*m->change));
-		get_list(r, m->change);
+		get_list_change(r, m->change);
 		break;
 	default:
 		m->seq = get_u64(r);
@@ -422,8 +430,8 @@
 	}
 }
 
-static int read_message(const struct ph_mem *mem, const msgpack_object *root,
-			struct ph_poolmsg *m)
+static int decode_message(const struct ph_mem *mem, const msgpack_object *root,
+			  struct ph_poolmsg *m)
 {
 	struct reader r = { 0 };
 
@@ -433,7 +441,7 @@
 	r.left = root->via.array.size;
 	if (get_u32(&r) != PH_POOLMSG_PROTOCOL)
 		return PH_ERR_VERSION;
-	m->type = (enum ph_poolmsg_type)get_number(&r, PH_POOLMSG_TYPES - 1);
+	m->type = (enum ph_poolmsg_type)get_uint(&r, PH_POOLMSG_TYPES - 1);
 	get_str(&r, m->name, sizeof(m->name));
 	get_str(&r, m->domain, sizeof(m->domain));
 	get_str(&r, m->addr, sizeof(m->addr));
@@ -455,7 +463,7 @@
 	msgpack_unpacked_init(&unpacked);
 	if (msgpack_unpack_next(&unpacked, data, len, NULL) ==
 	    MSGPACK_UNPACK_SUCCESS)
-		err = read_message(mem, &unpacked.data, m);
+		err = decode_message(mem, &unpacked.data, m);
 	msgpack_unpacked_destroy(&unpacked);
 	if (err)
 		ph_poolmsg_clear(mem, m);
--- a/src/poolmsg.h
+++ b/src/poolmsg.h
@@ -2,97 +2,110 @@
 #define PH_POOLMSG_H
 
 /*
- * Messages between entry instances about pools of executors. A frame is a
- * 32-bit big-endian length and a msgpack array that starts with the protocol
- * version, the type and the sender. docs/PLATFORM.md says who sends which.
+ * Messages between instances about pools of executors. A frame is a 32-bit
+ * big-endian length and a msgpack array that starts with the protocol version,
+ * the type and the sender. docs/PLATFORM.md describes the protocol.
  */
 
 #include "directory.h"
 #include "pool.h"
 
 #define PH_POOLMSG_PROTOCOL 4U
+/** Most pools that an instance owns: as many as a heartbeat can carry. */
 #define PH_CLAIMS_MAX 32U
 
 enum ph_poolmsg_type {
-	/** Heartbeat: who lives, what it owns and how loaded that is. */
+	/** Shows that the sender is alive; carries its claims and their load.
+	 */
 	PH_POOLMSG_HEARTBEAT = 1,
-	/** A batch for the owner of a pool; repeated until accepted. */
+	/** Batch request to the owner of a pool; resent until accepted. */
 	PH_POOLMSG_SUBMIT,
 	PH_POOLMSG_ACCEPTED,
-	/** Outcome of a batch; repeated until acknowledged. */
+	/** Result of a batch; resent until acknowledged. */
 	PH_POOLMSG_RESULT,
 	PH_POOLMSG_RESULT_ACK,
-	/** The caller of a batch has gone; repeated until acknowledged. */
+	/** The batch's caller disconnected; resent until acknowledged. */
 	PH_POOLMSG_CANCEL,
 	PH_POOLMSG_CANCEL_ACK,
-	/** Asks for the configuration, and carries it. */
+	/** Request for the configuration, answered by PH_POOLMSG_CONFIG. */
 	PH_POOLMSG_CONFIG_REQUEST,
 	PH_POOLMSG_CONFIG,
-	/** What changed in the list of executors, to the sender's domain. */
+	/** Change of the list of executors, to instances of the sender's
+	 * failure domain. */
 	PH_POOLMSG_LIST,
 	PH_POOLMSG_TYPES,
 };
 
-/** One pool that the sender of a heartbeat owns. */
+/** Claim of ownership of one pool, by the sender of a heartbeat. */
 struct ph_claim {
+	/** Name of the pool. */
 	char domain[PH_NAME_BYTES];
+	/** Fencing token. */
 	uint64_t token;
-	/** Kept only until another instance claims it. */
+	/** The sender releases the pool when another instance claims it. */
 	bool offered;
 	struct ph_pool_load load;
 };
 
+/** A message; fields that its type does not carry are unused, 0 if decoded. */
 struct ph_poolmsg {
 	enum ph_poolmsg_type type;
-	/** Sender, in every message. */
+	/** The sender's name, failure domain, address and incarnation; in every
+	 * message. */
 	char name[PH_NAME_BYTES];
 	char domain[PH_NAME_BYTES];
 	char addr[PH_ADDR_BYTES];
 	uint64_t incarnation;
-	/* HELLO */
+	/** HEARTBEAT, with the fields up to claims: the sender is stopping. */
 	bool leaving;
 	uint64_t config_version;
-	/** Time since the sender last heard the receiver; UINT64_MAX: never. */
+	/** Time since the sender last received a heartbeat of the receiver;
+	 * UINT64_MAX: never. */
 	uint64_t heard_ago_us;
-	/** Time to the sender's next heartbeat. */
+	/** Interval of the sender's heartbeats to the receiver. */
 	uint64_t interval_us;
-	/** The sender's steady clock. */
+	/** The sender's monotonic clock. */
 	uint64_t clock_us;
+	/** CPU that the sender may use, in thousandths of a core. */
 	uint32_t cpu_milli;
-	/** Shards that the sender's domain is split into, as it knows. */
+	/** Number of shards of the sender's domain, as known to the sender. */
 	uint32_t shards;
 	/** Digest of the sender's list of executors (0: none), and its age. */
 	uint64_t list_digest;
 	uint64_t list_age_us;
 	uint32_t claim_count;
 	struct ph_claim claims[PH_CLAIMS_MAX];
-	/** Handle of a batch at the instance that submitted it. */
+	/** Number that identifies a batch at the submitting instance; in all
+	 * types but HEARTBEAT, CONFIG_REQUEST, CONFIG and LIST. */
 	uint64_t seq;
-	/** SUBMIT: the pool, and the life of the owner that it is meant for. */
+	/** SUBMIT: the pool, and the incarnation of its owner for which the
+	 * batch request is meant. */
 	char pool[PH_NAME_BYTES];
 	uint64_t owner_incarnation;
-	/** SUBMIT: owned by the message when decoded. */
+	/** SUBMIT: the batch request; owned by the message when decoded. */
 	struct ph_batch_request *work;
-	/* RESULT; its reason is borrowed from reason_text when decoded. */
+	/** RESULT: when decoded, its reason points to reason_text. */
 	struct ph_result result;
 	char reason_text[PH_ADDR_BYTES];
-	/** CONFIG: a document, owned by the message when decoded. */
+	/** CONFIG: the configuration; owned by the message when decoded. */
 	char *doc;
 	size_t doc_len;
 	/** LIST: owned by the message when decoded. */
 	struct ph_list_change *change;
 };
 
-/** Encodes a frame, its length included. */
+/** Appends a message to out as a frame with its length. */
 void ph_poolmsg_encode(const struct ph_poolmsg *msg, struct ph_buf *out);
 
 /**
- * Decodes the bytes after the frame's length. Returns 0, PH_ERR_SYNTAX or
- * PH_ERR_VERSION; on success ph_poolmsg_clear() frees what msg owns.
+ * Decodes the bytes of a frame after its length. Returns 0, PH_ERR_SYNTAX or
+ * PH_ERR_VERSION. After success the caller frees what msg owns by
+ * ph_poolmsg_clear(); after an error msg owns nothing.
  */
 int ph_poolmsg_decode(const struct ph_mem *mem, const char *data, size_t len,
 		      struct ph_poolmsg *msg);
 
+/** Frees what a decoded message owns. */
 void ph_poolmsg_clear(const struct ph_mem *mem, struct ph_poolmsg *msg);
 
 #endif
--- a/test/test_poolmsg.cc
+++ b/test/test_poolmsg.cc
@@ -69,14 +69,14 @@
 	ph_batch_request work = sample_work(spec);
 	auto change = std::make_unique<ph_list_change>();
 
-	change->before = 3;
-	change->after = UINT64_MAX;
-	change->set_count = 1;
-	snprintf(change->set[0].id, PH_NAME_BYTES, "x1");
-	change->set[0].capacity.cpu_milli = 16000;
-	change->set[0].draining = true;
-	change->gone_count = 1;
-	snprintf(change->gone[0], PH_NAME_BYTES, "x2");
+	change->digest_before = 3;
+	change->digest_after = UINT64_MAX;
+	change->updated_count = 1;
+	snprintf(change->updated[0].id, PH_NAME_BYTES, "x1");
+	change->updated[0].capacity.cpu_milli = 16000;
+	change->updated[0].draining = true;
+	change->removed_count = 1;
+	snprintf(change->removed[0], PH_NAME_BYTES, "x2");
 	for (int t = PH_POOLMSG_HEARTBEAT; t < PH_POOLMSG_TYPES; t++) {
 		SCOPED_TRACE(t);
 		ph_poolmsg m = sample((ph_poolmsg_type)t);
@@ -119,15 +119,15 @@
 			EXPECT_EQ(got.work->need.gpu, 1U);
 		}
 		if (t == PH_POOLMSG_LIST) {
-			EXPECT_EQ(got.change->before, 3U);
-			EXPECT_EQ(got.change->after, UINT64_MAX);
-			ASSERT_EQ(got.change->set_count, 1U);
-			EXPECT_STREQ(got.change->set[0].id, "x1");
-			EXPECT_EQ(got.change->set[0].capacity.cpu_milli,
+			EXPECT_EQ(got.change->digest_before, 3U);
+			EXPECT_EQ(got.change->digest_after, UINT64_MAX);
+			ASSERT_EQ(got.change->updated_count, 1U);
+			EXPECT_STREQ(got.change->updated[0].id, "x1");
+			EXPECT_EQ(got.change->updated[0].capacity.cpu_milli,
 				  16000U);
-			EXPECT_TRUE(got.change->set[0].draining);
-			ASSERT_EQ(got.change->gone_count, 1U);
-			EXPECT_STREQ(got.change->gone[0], "x2");
+			EXPECT_TRUE(got.change->updated[0].draining);
+			ASSERT_EQ(got.change->removed_count, 1U);
+			EXPECT_STREQ(got.change->removed[0], "x2");
 		}
 		ph_poolmsg_clear(ph_mem_default(), &got);
 	}
