--- a/src/histogram.c
+++ b/src/histogram.c
@@ -1,15 +1,15 @@
 #include "histogram.h"
 
-#define FIRST_US 1000U
-/* Half an octave, in thousandths. */
-#define HALF_OCTAVE_MILLI 1414U
+#define FIRST_BOUND_US 1000U
+/* Square root of 2, in thousandths. */
+#define SQRT_2_MILLI 1414U
 #define MILLI 1000U
 
 uint64_t ph_histogram_bound_us(uint32_t bucket)
 {
-	uint64_t bound = (uint64_t)FIRST_US << (bucket / 2);
+	uint64_t bound = (uint64_t)FIRST_BOUND_US << (bucket / 2);
 
-	return bucket % 2 ? bound * HALF_OCTAVE_MILLI / MILLI : bound;
+	return bucket % 2 ? bound * SQRT_2_MILLI / MILLI : bound;
 }
 
 void ph_histogram_add(struct ph_histogram *h, uint64_t us)
@@ -23,22 +23,23 @@
 }
 
 void ph_histogram_write(const struct ph_histogram *h, const char *name,
-		      struct ph_buf *out)
+			struct ph_buf *out)
 {
-	uint64_t sum = 0;
+	uint64_t cumulative = 0;
 	uint32_t b;
 
 	ph_buf_printf(out, "# TYPE %s histogram\n", name);
 	for (b = 0; b < PH_HISTOGRAM_BUCKETS; b++) {
-		sum += h->counts[b];
+		cumulative += h->counts[b];
 		ph_buf_printf(out, "%s_bucket{le=\"%llu\"} %llu\n", name,
 			      (unsigned long long)ph_histogram_bound_us(b),
-			      (unsigned long long)sum);
+			      (unsigned long long)cumulative);
 	}
-	sum += h->counts[b];
+	cumulative += h->counts[b];
 	ph_buf_printf(
 		out,
 		"%s_bucket{le=\"+Inf\"} %llu\n%s_sum %llu\n%s_count %llu\n",
-		name, (unsigned long long)sum, name,
-		(unsigned long long)h->sum_us, name, (unsigned long long)sum);
+		name, (unsigned long long)cumulative, name,
+		(unsigned long long)h->sum_us, name,
+		(unsigned long long)cumulative);
 }
--- a/src/ident.c
+++ b/src/ident.c
@@ -4,18 +4,20 @@
 
 #include "ident.h"
 
-static bool in_alphabet(const char *text, size_t max, const char *extra)
+/* Whether text has 1 to size - 1 characters, each of [a-z0-9] or of extra. */
+static bool in_alphabet(const char *text, size_t size, const char *extra)
 {
 	size_t len = strlen(text);
 	size_t i;
 
-	if (len == 0 || len >= max)
+	if (len == 0 || len >= size)
 		return false;
 	for (i = 0; i < len; i++) {
 		char c = text[i];
-		bool plain = (c >= 'a' && c <= 'z') || (c >= '0' && c <= '9');
+		bool alphanumeric =
+			(c >= 'a' && c <= 'z') || (c >= '0' && c <= '9');
 
-		if (!plain && !strchr(extra, c))
+		if (!alphanumeric && !strchr(extra, c))
 			return false;
 	}
 	return true;
@@ -48,18 +50,21 @@
 	return ph_hash(pair, sizeof(pair));
 }
 
+/* Index of the domain that is the id's prefix up to '~'; -1 if there is none.
+ */
 static int domain_by_prefix(const char *id, const char *const *domains,
 			    size_t count)
 {
-	const char *mark = strchr(id, '~');
+	const char *separator = strchr(id, '~');
 	size_t i;
 
-	if (!mark)
+	if (!separator)
 		return -1;
 	for (i = 0; i < count; i++) {
 		size_t len = strlen(domains[i]);
 
-		if (len == (size_t)(mark - id) && !strncmp(id, domains[i], len))
+		if (len == (size_t)(separator - id) &&
+		    !strncmp(id, domains[i], len))
 			return (int)i;
 	}
 	return -1;
@@ -75,10 +80,11 @@
 	if (home >= 0)
 		return home;
 	for (i = 0; i < count; i++) {
-		uint64_t w = ph_rendezvous_weight(key, ph_hash_str(domains[i]));
+		uint64_t weight =
+			ph_rendezvous_weight(key, ph_hash_str(domains[i]));
 
-		if (home < 0 || w > best) {
-			best = w;
+		if (home < 0 || weight > best) {
+			best = weight;
 			home = (int)i;
 		}
 	}
--- a/src/ident.h
+++ b/src/ident.h
@@ -7,29 +7,32 @@
 
 #include "peridothall.h"
 
-/** Tells whether text is a name: 1 to 31 of [a-z0-9-]. */
+/** Whether text is a valid name: 1 to 31 characters of [a-z0-9-]. */
 bool ph_name_valid(const char *text);
 
-/** Tells whether text is a job id: 1 to 95 of [A-Za-z0-9._~-]. */
+/** Whether text is a valid job id: 1 to 95 characters of [A-Za-z0-9._~-]. */
 bool ph_id_valid(const char *text);
 
-/** Hashes len bytes. */
+/** 64-bit hash of len bytes, the same on all instances. */
 uint64_t ph_hash(const void *data, size_t len);
 
-/** Hashes a string. */
+/** ph_hash() of a string without its terminator. */
 uint64_t ph_hash_str(const char *text);
 
-/** Weight of a candidate for a key; the largest weight owns the key. */
+/**
+ * Weight of a candidate for a key in rendezvous hashing; the key goes to the
+ * candidate with the largest weight.
+ */
 uint64_t ph_rendezvous_weight(uint64_t key_hash, uint64_t candidate_hash);
 
 /**
- * Index of the home failure domain of a job id among domains: its prefix up
- * to the first '~' if that names one, else by rendezvous. Returns -1 if there
- * is no domain.
+ * Index in domains of the home failure domain of a job id: the domain named by
+ * the id's prefix up to the first '~', or, if there is none of that name, the
+ * one chosen by rendezvous hashing. Returns -1 if count is 0.
  */
 int ph_home_domain(const char *id, const char *const *domains, size_t count);
 
-/** Copies the team of a job's key, "team/id". */
+/** Copies the team from a job's key "team/id", cut off at PH_NAME_BYTES - 1. */
 void ph_key_team(const char *key, char team[PH_NAME_BYTES]);
 
 #endif
