--- a/src/ident.c
+++ b/src/ident.c
@@ -50,8 +50,7 @@
 	return ph_hash(pair, sizeof(pair));
 }
 
-/* Index of the domain that is the id's prefix up to '~'; -1 if there is none.
- */
+/* Index of the domain named by the id's prefix up to '~'; -1 if none is. */
 static int domain_by_prefix(const char *id, const char *const *domains,
 			    size_t count)
 {
--- a/src/poolmsg.c
+++ b/src/poolmsg.c
@@ -6,8 +6,9 @@
 #include "msg.h"
 #include "poolmsg.h"
 
-/* Number of array elements of each part of a message, not counting the entries
- * of lists. */
+/* Numbers of array elements: of the header, of the body of a heartbeat and of a
+ * list change without their entries, of the other bodies, and of one entry (a
+ * claim or an executor). */
 #define HEADER_FIELDS 6U
 #define HEARTBEAT_FIELDS 10U
 #define CLAIM_FIELDS 9U
--- a/src/poolmsg.h
+++ b/src/poolmsg.h
@@ -56,7 +56,8 @@
 	char domain[PH_NAME_BYTES];
 	char addr[PH_ADDR_BYTES];
 	uint64_t incarnation;
-	/** HEARTBEAT, with the fields up to claims: the sender is stopping. */
+	/* The fields from here to claims are those of HEARTBEAT. */
+	/** The sender is stopping and claims no more pools. */
 	bool leaving;
 	uint64_t config_version;
 	/** Time since the sender last received a heartbeat of the receiver;
--- a/test/test_cluster.cc
+++ b/test/test_cluster.cc
@@ -20,44 +20,45 @@
 constexpr uint64_t kTickUs = 10 * kMs;
 constexpr uint64_t kUnixMs = 1800000000000;
 
-struct Net;
+struct Network;
 
-struct Node {
-	Net *net;
+struct Instance {
+	Network *net;
 	std::string name;
 	std::string domain;
 	uint32_t cpu;
-	uint64_t born_us;
-	ph_cluster *members = nullptr;
+	uint64_t started_us;
+	ph_cluster *cluster = nullptr;
 	std::map<std::string, uint64_t> owned;
-	bool up = true;
+	bool running = true;
 	bool frozen = false;
 	bool leaving = false;
 	int acquisitions = 0;
-	int greetings = 0;
+	int heartbeats_sent = 0;
 };
 
-/* Instances that hear each other's heartbeats a millisecond later, unless
- * they are in different groups. */
-struct Net {
+/* A simulated network. Heartbeats between instances arrive after a millisecond,
+ * or never if the instances are in different groups (a network partition). */
+struct Network {
 	uint64_t now_us = 1000000;
-	std::vector<std::unique_ptr<Node>> nodes;
+	std::vector<std::unique_ptr<Instance>> instances;
 	std::map<std::string, int> group;
 	std::multimap<uint64_t, std::function<void()>> events;
 	std::vector<std::string> pools;
-	/** Executors accept the highest token that they have seen. */
-	std::map<std::string, uint64_t> fence;
+	/** Highest token that the executors of each pool have seen; they reject
+	 * lower ones. */
+	std::map<std::string, uint64_t> highest_token_seen;
 	std::map<std::string, std::string> reached_by;
 
-	~Net()
+	~Network()
 	{
-		for (auto &n : nodes)
-			ph_cluster_free(n->members);
+		for (auto &n : instances)
+			ph_cluster_free(n->cluster);
 	}
 
 	static void on_acquire(void *ctx, const char *pool, uint64_t token)
 	{
-		Node *n = static_cast<Node *>(ctx);
+		Instance *n = static_cast<Instance *>(ctx);
 
 		n->owned[pool] = token;
 		n->acquisitions++;
@@ -65,18 +66,18 @@
 
 	static void on_release(void *ctx, const char *pool)
 	{
-		static_cast<Node *>(ctx)->owned.erase(pool);
+		static_cast<Instance *>(ctx)->owned.erase(pool);
 	}
 
 	static void on_send_heartbeat(void *ctx, const char *addr,
 				      const ph_member *m)
 	{
-		Node *from = static_cast<Node *>(ctx);
-		Net *net = from->net;
+		Instance *from = static_cast<Instance *>(ctx);
+		Network *net = from->net;
 		std::string to = addr;
 		auto msg = std::make_shared<ph_poolmsg>();
 
-		from->greetings++;
+		from->heartbeats_sent++;
 		msg->type = PH_POOLMSG_HEARTBEAT;
 		snprintf(msg->name, sizeof(msg->name), "%s",
 			 from->name.c_str());
@@ -84,11 +85,11 @@
 			 from->domain.c_str());
 		snprintf(msg->addr, sizeof(msg->addr), "%s",
 			 from->name.c_str());
-		msg->incarnation = kUnixMs + from->born_us / 1000;
+		msg->incarnation = kUnixMs + from->started_us / 1000;
 		msg->leaving = from->leaving;
 		msg->cpu_milli = from->cpu;
 		msg->interval_us =
-			m ? ph_cluster_interval_us(from->members, m) : 0;
+			m ? ph_cluster_interval_us(from->cluster, m) : 0;
 		for (const auto &o : from->owned) {
 			ph_claim *c = &msg->claims[msg->claim_count++];
 
@@ -96,23 +97,23 @@
 				 o.first.c_str());
 			c->token = o.second;
 			c->offered = ph_cluster_pool_offered(
-				from->members, net->now_us, o.first.c_str());
+				from->cluster, net->now_us, o.first.c_str());
 		}
 		if (net->group[from->name] != net->group[to])
 			return;
-		if (!net->find(to)->up) {
+		if (!net->find(to)->running) {
 			net->events.emplace(net->now_us + kMs, [net, from, to] {
-				ph_cluster_connection_refused(from->members, net->now_us,
-						   to.c_str());
+				ph_cluster_connection_refused(
+					from->cluster, net->now_us, to.c_str());
 			});
 			return;
 		}
 		net->events.emplace(net->now_us + kMs, [net, to, msg] {
-			Node *n = net->find(to);
+			Instance *n = net->find(to);
 
-			if (n && n->up && !n->frozen)
-				ph_cluster_heartbeat_received(n->members, net->now_us,
-						 msg.get());
+			if (n && n->running && !n->frozen)
+				ph_cluster_heartbeat_received(
+					n->cluster, net->now_us, msg.get());
 		});
 	}
 
@@ -120,22 +121,22 @@
 	{
 	}
 
-	Node *find(const std::string &name)
+	Instance *find(const std::string &name)
 	{
-		for (auto &n : nodes)
+		for (auto &n : instances)
 			if (n->name == name)
 				return n.get();
 		return nullptr;
 	}
 
-	void boot(Node *n)
+	void start(Instance *n)
 	{
 		ph_cluster_options o = {};
 
-		ph_cluster_free(n->members);
-		n->born_us = now_us;
+		ph_cluster_free(n->cluster);
+		n->started_us = now_us;
 		n->owned.clear();
-		n->up = true;
+		n->running = true;
 		n->leaving = false;
 		o.mem = ph_mem_default();
 		o.name = n->name.c_str();
@@ -146,36 +147,36 @@
 		o.suspect_us = 350 * kMs;
 		o.start_us = now_us;
 		o.cpu_milli = n->cpu;
-		n->members = ph_cluster_new(&o);
+		n->cluster = ph_cluster_new(&o);
 		for (const std::string &p : pools) {
 			char name[1][PH_NAME_BYTES];
 
 			snprintf(name[0], sizeof(name[0]), "%s", p.c_str());
-			ph_cluster_add_pools(n->members, name, 1);
+			ph_cluster_add_pools(n->cluster, name, 1);
 		}
-		for (auto &other : nodes)
-			ph_cluster_add_contact(n->members, other->name.c_str());
+		for (auto &other : instances)
+			ph_cluster_add_contact(n->cluster, other->name.c_str());
 	}
 
 	void add(const std::string &name, const std::string &domain,
 		 uint32_t cpu = 250)
 	{
-		nodes.emplace_back(new Node);
-		nodes.back()->net = this;
-		nodes.back()->name = name;
-		nodes.back()->domain = domain;
-		nodes.back()->cpu = cpu;
+		instances.emplace_back(new Instance);
+		instances.back()->net = this;
+		instances.back()->name = name;
+		instances.back()->domain = domain;
+		instances.back()->cpu = cpu;
 	}
 
-	void boot_all()
+	void start_all()
 	{
 		ph_log_quiet(1);
-		for (auto &n : nodes)
-			boot(n.get());
+		for (auto &n : instances)
+			start(n.get());
 	}
 
-	/* Executors of a pool tell an owner that its token is outdated. */
-	void show_tokens(Node *n, const ph_cluster_sink *sink)
+	/* Executors reject the token of an owner if they know a higher one. */
+	void check_tokens(Instance *n, const ph_cluster_sink *sink)
 	{
 		std::map<std::string, uint64_t> owned = n->owned;
 
@@ -183,13 +184,13 @@
 			std::string domain =
 				o.first.substr(0, o.first.find('#'));
 
-			/* Executors are cut off with their domain. */
+			/* Executors are in the group of their domain. */
 			if (group[n->name] != group[domain])
 				continue;
-			if (o.second >= fence[o.first])
-				fence[o.first] = o.second;
+			if (o.second >= highest_token_seen[o.first])
+				highest_token_seen[o.first] = o.second;
 			else
-				ph_cluster_fenced(n->members, now_us,
+				ph_cluster_fenced(n->cluster, now_us,
 						  kUnixMs + now_us / 1000,
 						  o.first.c_str(), sink, n);
 		}
@@ -205,47 +206,47 @@
 			now_us += kTickUs;
 			while (!events.empty() &&
 			       events.begin()->first <= now_us) {
-				auto what = events.begin()->second;
+				auto deliver = events.begin()->second;
 
 				events.erase(events.begin());
-				what();
+				deliver();
 			}
-			for (auto &n : nodes) {
-				if (!n->up || n->frozen)
+			for (auto &n : instances) {
+				if (!n->running || n->frozen)
 					continue;
-				ph_cluster_tick(n->members, now_us,
+				ph_cluster_tick(n->cluster, now_us,
 						kUnixMs + now_us / 1000, &sink,
 						n.get());
-				show_tokens(n.get(), &sink);
+				check_tokens(n.get(), &sink);
 			}
 		}
 	}
 
-	std::vector<Node *> owners(const std::string &pool)
+	std::vector<Instance *> owners(const std::string &pool)
 	{
-		std::vector<Node *> list;
+		std::vector<Instance *> list;
 
-		for (auto &n : nodes)
-			if (n->up && n->owned.count(pool))
+		for (auto &n : instances)
+			if (n->running && n->owned.count(pool))
 				list.push_back(n.get());
 		return list;
 	}
 };
 
-void two_domains(Net *net)
+void two_domains(Network *net)
 {
 	net->pools = { "north", "south" };
 	for (const char *name : { "n1", "n2", "n3" })
 		net->add(name, "north");
 	for (const char *name : { "s1", "s2" })
 		net->add(name, "south");
-	net->boot_all();
+	net->start_all();
 	net->run_until(net->now_us + 2000 * kMs);
 }
 
-TEST(Members, EveryPoolHasOneOwnerOfItsOwnDomain)
+TEST(Cluster, EveryPoolHasOneOwnerFromItsDomain)
 {
-	Net net;
+	Network net;
 
 	two_domains(&net);
 	for (const std::string &pool : net.pools) {
@@ -255,28 +256,29 @@
 	}
 }
 
-/* All instances lose power and return one after the other: each pool has an
- * owner of its domain soon after the first is back, and one in the end. */
-TEST(Members, AfterARestartOfAllEachPoolIsOwnedSoon)
+/* All instances fail and restart one after the other. Each pool has an owner
+ * soon after the first instance of its domain is back, and in the end exactly
+ * one, from its domain. */
+TEST(Cluster, EachPoolIsOwnedSoonAfterAllInstancesRestart)
 {
 	constexpr uint64_t kOwnedWithinUs = 400 * kMs;
 
-	for (uint64_t gap_ms : { 0, 40, 100 }) {
-		SCOPED_TRACE(gap_ms);
-		Net net;
+	for (uint64_t start_gap_ms : { 0, 40, 100 }) {
+		SCOPED_TRACE(start_gap_ms);
+		Network net;
 		uint64_t t0;
 
 		two_domains(&net);
-		for (auto &n : net.nodes)
-			n->up = false;
+		for (auto &n : net.instances)
+			n->running = false;
 		net.run_until(net.now_us + 1200 * kMs);
 		t0 = net.now_us;
-		/* The first of north, the first of south, and the others. */
+		/* One instance of each domain first, then the others. */
 		for (const char *name : { "n1", "s1", "n2", "s2", "n3" }) {
-			net.boot(net.find(name));
-			net.run_until(net.now_us + gap_ms * kMs);
+			net.start(net.find(name));
+			net.run_until(net.now_us + start_gap_ms * kMs);
 		}
-		net.run_until(t0 + gap_ms * kMs * 4 + kOwnedWithinUs);
+		net.run_until(t0 + start_gap_ms * kMs * 4 + kOwnedWithinUs);
 		for (const std::string &pool : net.pools)
 			EXPECT_FALSE(net.owners(pool).empty()) << pool;
 		net.run_until(net.now_us + 1000 * kMs);
@@ -287,43 +289,46 @@
 	}
 }
 
-struct LossCase {
+struct FailureCase {
 	const char *what;
-	void (*strike)(Net *, Node *);
-	/** Time in which another owner is there. */
-	uint64_t within_us;
+	void (*fail)(Network *, Instance *);
+	/** Time within which another instance owns the pool. */
+	uint64_t replaced_within_us;
 };
 
-const LossCase loss_cases[] = {
-	{ "killed", [](Net *, Node *n) { n->up = false; }, 700 * kMs },
-	{ "frozen", [](Net *, Node *n) { n->frozen = true; }, 700 * kMs },
-	{ "cut off alone", [](Net *net, Node *n) { net->group[n->name] = 1; },
+const FailureCase failure_cases[] = {
+	{ "killed", [](Network *, Instance *n) { n->running = false; },
+	  700 * kMs },
+	{ "frozen", [](Network *, Instance *n) { n->frozen = true; },
+	  700 * kMs },
+	{ "partitioned from all others",
+	  [](Network *net, Instance *n) { net->group[n->name] = 1; },
 	  700 * kMs },
 	{ "leaving",
-	  [](Net *, Node *n) {
+	  [](Network *, Instance *n) {
 		  n->leaving = true;
-		  ph_cluster_leave(n->members);
+		  ph_cluster_leave(n->cluster);
 	  },
 	  400 * kMs },
 };
 
-TEST(Members, AnotherOwnerFollowsALostOne)
+TEST(Cluster, AnOwnerThatFailsOrLeavesIsReplaced)
 {
-	for (const LossCase &c : loss_cases) {
+	for (const FailureCase &c : failure_cases) {
 		SCOPED_TRACE(c.what);
-		Net net;
-		Node *old;
-		std::vector<Node *> now;
+		Network net;
+		Instance *old;
+		std::vector<Instance *> now;
 
 		two_domains(&net);
 		old = net.owners("north")[0];
-		c.strike(&net, old);
-		net.run_until(net.now_us + c.within_us);
+		c.fail(&net, old);
+		net.run_until(net.now_us + c.replaced_within_us);
 		now = net.owners("north");
 		now.erase(std::remove(now.begin(), now.end(), old), now.end());
 		ASSERT_EQ(now.size(), 1U);
 		EXPECT_EQ(now[0]->domain, "north");
-		/* What was lost comes back and does not claim it again. */
+		/* The earlier owner recovers and does not claim the pool. */
 		old->frozen = false;
 		net.group[old->name] = 0;
 		net.run_until(net.now_us + 2000 * kMs);
@@ -331,33 +336,33 @@
 	}
 }
 
-TEST(Members, AnOwnerKeepsItsPoolWhenOthersStart)
+TEST(Cluster, AnOwnerKeepsItsPoolWhenAPeerStarts)
 {
-	Net net;
-	Node *owner;
-	Node *other;
+	Network net;
+	Instance *owner;
+	Instance *other;
 
 	two_domains(&net);
 	owner = net.owners("north")[0];
 	other = net.find(owner->name == "n1" ? "n2" : "n1");
-	net.boot(other);
+	net.start(other);
 	net.run_until(net.now_us + 3000 * kMs);
 	ASSERT_EQ(net.owners("north").size(), 1U);
 	EXPECT_EQ(net.owners("north")[0], owner);
 }
 
-TEST(Members, ACutDomainKeepsItsOwnerThroughTheHeal)
+TEST(Cluster, APartitionedDomainKeepsItsOwnerAfterThePartitionHeals)
 {
-	for (uint64_t cut_ms : { 500, 1500, 2500, 3500, 5500 }) {
-		SCOPED_TRACE(cut_ms);
-		Net net;
-		Node *owner;
+	for (uint64_t partition_ms : { 500, 1500, 2500, 3500, 5500 }) {
+		SCOPED_TRACE(partition_ms);
+		Network net;
+		Instance *owner;
 
 		two_domains(&net);
 		owner = net.owners("south")[0];
 		for (const char *name : { "s1", "s2", "south" })
 			net.group[name] = 1;
-		net.run_until(net.now_us + cut_ms * kMs);
+		net.run_until(net.now_us + partition_ms * kMs);
 		EXPECT_TRUE(owner->owned.count("south"));
 		for (const char *name : { "s1", "s2", "south" })
 			net.group[name] = 0;
@@ -369,25 +374,25 @@
 	}
 }
 
-TEST(Members, ADomainWithoutInstancesIsAdopted)
+TEST(Cluster, APoolWithoutInstancesInItsDomainIsTakenOver)
 {
-	Net net;
+	Network net;
 
 	two_domains(&net);
-	net.find("s1")->up = false;
-	net.find("s2")->up = false;
+	net.find("s1")->running = false;
+	net.find("s2")->running = false;
 	net.run_until(net.now_us + 1200 * kMs);
 	ASSERT_EQ(net.owners("south").size(), 1U);
 	EXPECT_EQ(net.owners("south")[0]->domain, "north");
-	net.boot(net.find("s1"));
+	net.start(net.find("s1"));
 	net.run_until(net.now_us + 2500 * kMs);
 	ASSERT_EQ(net.owners("south").size(), 1U);
 	EXPECT_EQ(net.owners("south")[0]->name, "s1");
 }
 
-TEST(Members, ADomainThatMayBeCutOffIsNotAdoptedAtOnce)
+TEST(Cluster, APoolOfAPartitionedDomainIsNotTakenOverAtOnce)
 {
-	Net net;
+	Network net;
 
 	two_domains(&net);
 	for (const char *name : { "s1", "s2", "south" })
@@ -397,41 +402,41 @@
 	EXPECT_EQ(net.owners("south")[0]->domain, "south");
 }
 
-TEST(Members, ALeavingLastInstanceIsFollowedByAnAdopter)
+TEST(Cluster, APoolIsTakenOverWhenTheLastInstanceOfItsDomainLeaves)
 {
-	Net net;
-	Node *last;
+	Network net;
+	Instance *last;
 
 	two_domains(&net);
-	net.find("s1")->up = false;
+	net.find("s1")->running = false;
 	net.run_until(net.now_us + 1500 * kMs);
 	last = net.find("s2");
 	ASSERT_TRUE(last->owned.count("south"));
 	last->leaving = true;
-	ph_cluster_leave(last->members);
+	ph_cluster_leave(last->cluster);
 	net.run_until(net.now_us + 600 * kMs);
 	ASSERT_EQ(net.owners("south").size(), 1U);
 	EXPECT_EQ(net.owners("south")[0]->domain, "north");
 }
 
-TEST(Members, AllStartedAnewFindOneOwnerEach)
+TEST(Cluster, EachPoolHasOneOwnerAfterAllInstancesRestart)
 {
-	Net net;
+	Network net;
 
 	two_domains(&net);
-	for (auto &n : net.nodes)
-		n->up = false;
+	for (auto &n : net.instances)
+		n->running = false;
 	net.run_until(net.now_us + 1000 * kMs);
-	for (auto &n : net.nodes)
-		net.boot(n.get());
+	for (auto &n : net.instances)
+		net.start(n.get());
 	net.run_until(net.now_us + 2000 * kMs);
 	for (const std::string &pool : net.pools)
 		EXPECT_EQ(net.owners(pool).size(), 1U) << pool;
 }
 
-TEST(Members, ShardsGoWhereTheProcessorsAre)
+TEST(Cluster, ShardsAreOwnedByInstancesWithTheMostCpu)
 {
-	Net net;
+	Network net;
 	std::map<std::string, size_t> owned;
 
 	net.pools = { "north", "north#1", "north#2", "north#3" };
@@ -439,25 +444,26 @@
 	net.add("big2", "north", 500);
 	for (const char *name : { "s1", "s2", "s3", "s4" })
 		net.add(name, "north", 120);
-	net.boot_all();
+	net.start_all();
 	net.run_until(net.now_us + 3000 * kMs);
-	for (auto &n : net.nodes)
+	for (auto &n : net.instances)
 		owned[n->name] = n->owned.size();
 	EXPECT_EQ(owned["big1"], 2U);
 	EXPECT_EQ(owned["big2"], 2U);
-	/* After a restart of one they are spread again. */
-	net.find("big1")->up = false;
+	/* After a restart a large instance is offered shards again. */
+	net.find("big1")->running = false;
 	net.run_until(net.now_us + 1500 * kMs);
-	net.boot(net.find("big1"));
+	net.start(net.find("big1"));
 	net.run_until(net.now_us + 8000 * kMs);
 	EXPECT_GE(net.find("big1")->owned.size(), 1U);
 	for (const std::string &pool : net.pools)
 		EXPECT_EQ(net.owners(pool).size(), 1U) << pool;
 }
 
-/* More pools than fixed tables held, and more than one heartbeat tells of: all
- * that the instances can tell of are owned, once, and none changes hands. */
-TEST(Members, AnInstanceOwnsAsManyPoolsAsItCanTellOf)
+/* More pools than a heartbeat carries claims, and than earlier tables of fixed
+ * size held. The instances own as many pools as their heartbeats can carry,
+ * each pool once, and no pool changes its owner. */
+TEST(Cluster, AnInstanceOwnsAtMostAsManyPoolsAsAHeartbeatCarries)
 {
 	const struct {
 		int pools;
@@ -472,7 +478,7 @@
 
 	for (const auto &c : cases) {
 		SCOPED_TRACE(c.pools);
-		Net net;
+		Network net;
 		size_t owned = 0;
 		int acquired = 0;
 
@@ -481,16 +487,16 @@
 					      : "north");
 		for (int i = 0; i < c.instances; i++)
 			net.add("n" + std::to_string(i), "north");
-		net.boot_all();
+		net.start_all();
 		net.run_until(net.now_us + 6000 * kMs);
-		for (auto &n : net.nodes)
+		for (auto &n : net.instances)
 			acquired += n->acquisitions;
 		net.run_until(net.now_us + 1000 * kMs);
 		for (const std::string &pool : net.pools) {
 			EXPECT_LE(net.owners(pool).size(), 1U) << pool;
 			owned += net.owners(pool).size();
 		}
-		for (auto &n : net.nodes) {
+		for (auto &n : net.instances) {
 			EXPECT_LE(n->owned.size(), PH_CLAIMS_MAX);
 			acquired -= n->acquisitions;
 		}
@@ -499,11 +505,12 @@
 	}
 }
 
-/* Each address is greeted, however many there are. */
-TEST(Members, EveryContactIsGreeted)
+/* Guards against a limit on the number of contacts: each address gets a
+ * heartbeat. */
+TEST(Cluster, EveryContactGetsAHeartbeat)
 {
 	constexpr int kContacts = 600;
-	std::set<std::string> greeted;
+	std::set<std::string> reached;
 	static const ph_cluster_sink sink = {
 		[](void *, const char *, uint64_t) {},
 		[](void *, const char *) {},
@@ -521,25 +528,26 @@
 	o.addr = "n1";
 	o.heartbeat_us = 100 * kMs;
 	o.suspect_us = 350 * kMs;
-	ph_cluster *members = ph_cluster_new(&o);
+	ph_cluster *cluster = ph_cluster_new(&o);
 
 	for (int i = 0; i < kContacts; i++)
-		ph_cluster_add_contact(members, ("c" + std::to_string(i)).c_str());
-	ph_cluster_tick(members, 1000 * kMs, kUnixMs, &sink, &greeted);
-	EXPECT_EQ(greeted.size(), (size_t)kContacts);
-	ph_cluster_free(members);
+		ph_cluster_add_contact(cluster,
+				       ("c" + std::to_string(i)).c_str());
+	ph_cluster_tick(cluster, 1000 * kMs, kUnixMs, &sink, &reached);
+	EXPECT_EQ(reached.size(), (size_t)kContacts);
+	ph_cluster_free(cluster);
 }
 
-/* A large domain loses power: each shard is owned as soon as a single pool
- * would be, by the instances with the most processor. */
-TEST(Members, AfterARestartOfAllEachShardIsOwnedSoon)
+/* All instances of a large domain fail and restart. Each shard has an owner as
+ * soon as a single pool would have, among the instances with the most CPU. */
+TEST(Cluster, EachShardIsOwnedSoonAfterAllInstancesRestart)
 {
 	constexpr uint64_t kOwnedWithinUs = 400 * kMs;
 	constexpr int kShards = 7;
 
 	for (uint64_t stagger_us : { 0 * kMs, 10 * kMs }) {
 		SCOPED_TRACE(stagger_us);
-		Net net;
+		Network net;
 
 		for (int i = 0; i < kShards; i++)
 			net.pools.push_back(i ? "north#" + std::to_string(i)
@@ -547,13 +555,13 @@
 		for (int i = 0; i < 30; i++)
 			net.add("n" + std::to_string(i), "north",
 				i < 3 ? 500 : 120);
-		net.boot_all();
+		net.start_all();
 		net.run_until(net.now_us + 3000 * kMs);
-		for (auto &n : net.nodes)
-			n->up = false;
+		for (auto &n : net.instances)
+			n->running = false;
 		net.run_until(net.now_us + 1300 * kMs);
-		for (auto &n : net.nodes) {
-			net.boot(n.get());
+		for (auto &n : net.instances) {
+			net.start(n.get());
 			net.run_until(net.now_us + stagger_us);
 		}
 		net.run_until(net.now_us + kOwnedWithinUs);
@@ -565,71 +573,75 @@
 	}
 }
 
-/* All instances restart behind a time of day that has jumped back: executors
- * remember tokens from ahead of it, and nobody else does. */
-TEST(Members, ATokenBehindTheExecutorsRisesFast)
+/* All instances restart after the time of day was set back, so that new tokens
+ * are lower than those the executors know, and no instance knows the latter. */
+TEST(Cluster, ATokenBelowTheOneKnownToExecutorsIsRaisedFast)
 {
 	constexpr uint64_t kHourMs = 3600 * 1000;
 
 	for (uint64_t behind_ms : { 2400UL, 60000UL, 3 * kHourMs }) {
 		SCOPED_TRACE(behind_ms);
-		Net net;
+		Network net;
 		uint64_t remembered = (kUnixMs + behind_ms) << 8;
 
 		net.pools = { "north" };
 		for (const char *name : { "n1", "n2", "n3" })
 			net.add(name, "north");
-		net.boot_all();
-		net.fence["north"] = remembered;
-		/* 0.3 s until the claim, 0.1 s for each refusal. */
+		net.start_all();
+		net.highest_token_seen["north"] = remembered;
+		/* It takes 0.3 s until the claim and 0.1 s per rejection. */
 		net.run_until(net.now_us + 1500 * kMs);
 		ASSERT_EQ(net.owners("north").size(), 1U);
 		EXPECT_GE(net.owners("north")[0]->owned["north"], remembered);
 	}
 }
 
-/* The most capable instance of a domain reads the list of executors for it. */
-TEST(Members, OneInstanceOfALargeDomainReadsTheList)
+/* In a domain of enough instances the one with the most CPU reads the list of
+ * executors for all of them. */
+TEST(Cluster, OneInstanceOfALargeDomainReadsTheExecutorList)
 {
 	const struct {
 		const char *what;
 		int instances;
-		/** Which one leaves or dies; -1: none. */
-		int leaves;
-		int dies;
-		/** The reader, "" if each reads by itself. */
+		/** Index of the instance that leaves, and of the one that is
+		 * killed; -1: none.  */
+		int leaving_instance;
+		int stopped_instance;
+		/** The instance that reads the list; "" if each does. */
 		const char *reader;
 	} cases[] = {
 		{ "a small domain", 3, -1, -1, "" },
-		{ "the one with the most processor", 5, -1, -1, "n2" },
-		{ "the next when it leaves", 5, 2, -1, "n0" },
-		{ "or dies", 5, -1, 2, "n0" },
+		{ "the instance with the most CPU", 5, -1, -1, "n2" },
+		{ "the first by name after the reader leaves", 5, 2, -1, "n0" },
+		{ "the first by name after the reader is killed", 5, -1, 2,
+		  "n0" },
 	};
 
 	for (const auto &c : cases) {
 		SCOPED_TRACE(c.what);
-		Net net;
+		Network net;
 
 		net.pools = { "north" };
 		for (int i = 0; i < c.instances; i++)
 			net.add("n" + std::to_string(i), "north",
 				i == 2 ? 500 : 120);
-		net.boot_all();
+		net.start_all();
 		net.run_until(net.now_us + 1000 * kMs);
-		if (c.leaves >= 0) {
-			net.nodes[c.leaves]->leaving = true;
-			ph_cluster_leave(net.nodes[c.leaves]->members);
+		if (c.leaving_instance >= 0) {
+			net.instances[c.leaving_instance]->leaving = true;
+			ph_cluster_leave(
+				net.instances[c.leaving_instance]->cluster);
 		}
-		if (c.dies >= 0)
-			net.nodes[c.dies]->up = false;
+		if (c.stopped_instance >= 0)
+			net.instances[c.stopped_instance]->running = false;
 		net.run_until(net.now_us + 1000 * kMs);
-		for (auto &n : net.nodes) {
+		for (auto &n : net.instances) {
 			const ph_member *reader;
 
-			if (!n->up)
+			if (!n->running)
 				continue;
-			bool other = ph_cluster_list_reader(n->members, net.now_us,
-						       &reader);
+			bool other = ph_cluster_list_reader(
+				n->cluster, net.now_us, &reader);
 
 			EXPECT_EQ(other, *c.reader && n->name != c.reader);
 			if (other) {
@@ -639,35 +651,36 @@
 	}
 }
 
-size_t hello_bytes()
+size_t heartbeat_bytes()
 {
-	ph_poolmsg hello = {};
+	ph_poolmsg heartbeat = {};
 	ph_buf out;
 	size_t len;
 
-	hello.type = PH_POOLMSG_HEARTBEAT;
-	snprintf(hello.name, sizeof(hello.name), "edge-zona-cordoba-29");
-	snprintf(hello.domain, sizeof(hello.domain), "zona-cordoba");
-	snprintf(hello.addr, sizeof(hello.addr), "10.222.222.222:8166");
-	hello.incarnation = kUnixMs;
-	hello.list_digest = UINT64_MAX;
-	hello.clock_us = kUnixMs;
+	heartbeat.type = PH_POOLMSG_HEARTBEAT;
+	snprintf(heartbeat.name, sizeof(heartbeat.name),
+		 "edge-zona-cordoba-29");
+	snprintf(heartbeat.domain, sizeof(heartbeat.domain), "zona-cordoba");
+	snprintf(heartbeat.addr, sizeof(heartbeat.addr), "10.222.222.222:8166");
+	heartbeat.incarnation = kUnixMs;
+	heartbeat.list_digest = UINT64_MAX;
+	heartbeat.clock_us = kUnixMs;
 	ph_buf_init(&out, ph_mem_default());
-	ph_poolmsg_encode(&hello, &out);
+	ph_poolmsg_encode(&heartbeat, &out);
 	len = out.len;
 	ph_buf_free(&out);
 	return len;
 }
 
-/* Hundreds of instances: what one that owns nothing sends stays within the
- * bytes that a node may spend on control. */
-TEST(Members, AmongManyAnIdleInstanceSendsFewHeartbeats)
+/* Heartbeats of an instance that owns no pool, in a cluster of 150 instances,
+ * stay within the limit for control traffic per dispatcher. */
+TEST(Cluster, AnInstanceWithoutPoolsSendsFewHeartbeatsInALargeCluster)
 {
 	constexpr int kDomains = 5;
 	constexpr int kInstances = 30;
 	constexpr uint64_t kSeconds = 4;
-	constexpr size_t kBytesASecond = 24000;
-	Net net;
+	constexpr size_t kMaxBytesPerSecond = 24000;
+	Network net;
 
 	for (int d = 0; d < kDomains; d++) {
 		std::string domain = "d" + std::to_string(d);
@@ -677,18 +690,18 @@
 			net.add(domain + "-" + std::to_string(i), domain,
 				i ? 120 : 500);
 	}
-	net.boot_all();
+	net.start_all();
 	net.run_until(net.now_us + 4000 * kMs);
-	for (auto &n : net.nodes)
-		n->greetings = 0;
+	for (auto &n : net.instances)
+		n->heartbeats_sent = 0;
 	net.run_until(net.now_us + kSeconds * 1000 * kMs);
-	for (auto &n : net.nodes) {
+	for (auto &n : net.instances) {
 		EXPECT_EQ(net.owners(n->domain).size(), 1U);
-		EXPECT_FALSE(ph_cluster_minority(n->members, net.now_us));
+		EXPECT_FALSE(ph_cluster_minority(n->cluster, net.now_us));
 		if (!n->owned.empty())
 			continue;
-		EXPECT_LE(n->greetings * hello_bytes(),
-			  kBytesASecond * kSeconds)
+		EXPECT_LE(n->heartbeats_sent * heartbeat_bytes(),
+			  kMaxBytesPerSecond * kSeconds)
 			<< n->name;
 	}
 }
--- a/test/test_directory.cc
+++ b/test/test_directory.cc
@@ -17,10 +17,10 @@
 
 struct Step {
 	uint64_t at_ms;
-	/** Ids that the read shows, a letter each; nullptr: it failed. */
+	/** Ids in the answer, a letter each; nullptr: the read failed. */
 	const char *read;
-	/** Ids in force after it. */
-	const char *in_force;
+	/** Ids in the current list after the read. */
+	const char *current;
 };
 
 struct Case {
@@ -28,10 +28,10 @@
 	std::vector<Step> steps;
 };
 
-TEST(Directory, AnswersLagFailAndComeBack)
+TEST(Directory, FailedAndEmptyReadsKeepTheListAndOutagesRetainEntries)
 {
 	const Case cases[] = {
-		{ "an entry that goes is gone",
+		{ "an entry that is no longer listed is removed",
 		  { { 0, "ab", "ab" }, { 600, "a", "a" } } },
 		{ "an empty read changes nothing",
 		  { { 0, "ab", "ab" },
@@ -39,18 +39,18 @@
 		    { 1200, "b", "b" } } },
 		{ "a failed read changes nothing",
 		  { { 0, "ab", "ab" }, { 600, nullptr, "ab" } } },
-		{ "after an outage missing entries have time to come back",
+		{ "missing entries are retained for a time after an outage",
 		  { { 0, "ab", "ab" },
 		    { 600, nullptr, "ab" },
 		    { 1200, nullptr, "ab" },
 		    { 5000, "a", "ab" },
 		    { 7000, "a", "ab" },
 		    { 7600, "a", "a" } } },
-		{ "a single failed read is no outage",
+		{ "a single failed read does not count as an outage",
 		  { { 0, "ab", "ab" },
 		    { 600, nullptr, "ab" },
 		    { 900, "a", "a" } } },
-		{ "entries that came back stay",
+		{ "entries that are listed again stay",
 		  { { 0, "ab", "ab" },
 		    { 600, nullptr, "ab" },
 		    { 5000, "b", "ab" },
@@ -68,7 +68,7 @@
 			std::vector<ph_executor_info> list;
 			std::string got;
 			size_t count;
-			const ph_executor_info *in_force;
+			const ph_executor_info *current;
 
 			for (const char *p = s.read; p && *p; p++) {
 				ph_executor_info info = {};
@@ -81,23 +81,23 @@
 						  list.size());
 			else
 				ph_directory_read_failed(d, now);
-			in_force = ph_directory_list(d, &count);
+			current = ph_directory_list(d, &count);
 			for (size_t i = 0; i < count; i++)
-				got += in_force[i].id;
-			EXPECT_EQ(got, s.in_force) << "at " << s.at_ms;
+				got += current[i].id;
+			EXPECT_EQ(got, s.current) << "at " << s.at_ms;
 		}
 		ph_directory_free(d);
 	}
 }
 
-std::vector<ph_executor_info> entries(const std::string &text)
+std::vector<ph_executor_info> list_of(const std::string &text)
 {
 	std::vector<ph_executor_info> list;
 
 	for (char c : text) {
 		ph_executor_info info = {};
 
-		/* A capital letter is the same executor, draining. */
+		/* A capital letter stands for the executor while draining. */
 		info.id[0] = (char)tolower(c);
 		info.draining = isupper(c) != 0;
 		list.push_back(info);
@@ -105,7 +105,7 @@
 	return list;
 }
 
-std::string shown(const ph_directory *d)
+std::string current_ids(const ph_directory *d)
 {
 	size_t count;
 	const ph_executor_info *list = ph_directory_list(d, &count);
@@ -117,61 +117,68 @@
 	return text;
 }
 
-/* One instance of a domain reads the list; what changed reaches the others. */
-TEST(Directory, ChangesKeepTwoListsAlike)
+/* One instance of a domain reads the list and sends the changes to the others,
+ * which apply them if they hold the list that the change starts from. */
+TEST(Directory, AChangeIsAppliedOnlyToTheListItStartsFrom)
 {
 	const struct {
 		const char *what;
 		const char *first;
 		const char *second;
-		/** What the other instance holds when the change arrives. */
+		/** List of the receiver when the change arrives. */
 		const char *held;
-		/** And after it. */
+		/** List of the receiver after the change. */
 		const char *after;
 	} cases[] = {
-		{ "one comes", "ab", "abc", "ab", "abc" },
-		{ "one goes", "abc", "ac", "abc", "ac" },
-		{ "one drains", "ab", "aB", "ab", "aB" },
-		{ "all at once", "abc", "Acd", "abc", "Acd" },
-		{ "another list stays as it is", "ab", "abc", "abd", "abd" },
-		{ "and one that has none", "ab", "abc", "", "" },
+		{ "an entry is added", "ab", "abc", "ab", "abc" },
+		{ "an entry is removed", "abc", "ac", "abc", "ac" },
+		{ "an entry is draining", "ab", "aB", "ab", "aB" },
+		{ "all three changes", "abc", "Acd", "abc", "Acd" },
+		{ "the receiver holds another list", "ab", "abc", "abd",
+		  "abd" },
+		{ "the receiver has no list", "ab", "abc", "", "" },
 	};
 
 	ph_log_quiet(1);
 	for (const auto &c : cases) {
 		SCOPED_TRACE(c.what);
-		ph_directory *from = ph_directory_new(ph_mem_default());
-		ph_directory *to = ph_directory_new(ph_mem_default());
+		ph_directory *sender = ph_directory_new(ph_mem_default());
+		ph_directory *receiver = ph_directory_new(ph_mem_default());
 		auto change = std::make_unique<ph_list_change>();
-		bool alike = !strcmp(c.first, c.held);
-		auto list = entries(c.first);
+		bool same_list = !strcmp(c.first, c.held);
+		auto list = list_of(c.first);
 
-		EXPECT_TRUE(ph_directory_read(from, 1000, 1000, list.data(),
+		EXPECT_TRUE(ph_directory_read(sender, 1000, 1000, list.data(),
 					      list.size()));
-		list = entries(c.held);
-		ph_directory_read(to, 1000, 1000, list.data(), list.size());
-		EXPECT_EQ(ph_directory_digest(from) == ph_directory_digest(to),
-			  alike);
-		list = entries(c.second);
-		EXPECT_TRUE(ph_directory_read(from, 601000, 600000, list.data(),
-					      list.size()));
-		ASSERT_TRUE(ph_directory_last_change(from, 601000, change.get()));
-		EXPECT_EQ(ph_directory_apply(to, 601500, change.get()), alike);
-		EXPECT_EQ(shown(to), c.after);
-		if (alike) {
-			EXPECT_EQ(ph_directory_digest(from),
-				  ph_directory_digest(to));
-			EXPECT_LE(ph_directory_age_us(to, 601500), 1500U);
+		list = list_of(c.held);
+		ph_directory_read(receiver, 1000, 1000, list.data(),
+				  list.size());
+		EXPECT_EQ(ph_directory_digest(sender) ==
+				  ph_directory_digest(receiver),
+			  same_list);
+		list = list_of(c.second);
+		EXPECT_TRUE(ph_directory_read(sender, 601000, 600000,
+					      list.data(), list.size()));
+		ASSERT_TRUE(
+			ph_directory_last_change(sender, 601000, change.get()));
+		EXPECT_EQ(ph_directory_apply(receiver, 601500, change.get()),
+			  same_list);
+		EXPECT_EQ(current_ids(receiver), c.after);
+		if (same_list) {
+			EXPECT_EQ(ph_directory_digest(sender),
+				  ph_directory_digest(receiver));
+			EXPECT_LE(ph_directory_age_us(receiver, 601500), 1500U);
 		}
-		EXPECT_FALSE(ph_directory_read(from, 1201000, 1200000,
+		EXPECT_FALSE(ph_directory_read(sender, 1201000, 1200000,
 					       list.data(), list.size()));
-		ph_directory_free(from);
-		ph_directory_free(to);
+		ph_directory_free(sender);
+		ph_directory_free(receiver);
 	}
 }
 
-/* At the edge of what is passed on: one entry more is read anew. */
-TEST(Directory, ALargeChangeIsNotPassedOn)
+/* A change of PH_LIST_CHANGES_MAX entries can be sent, one with an entry more
+ * cannot. */
+TEST(Directory, AChangeOfTooManyEntriesIsNotSent)
 {
 	for (size_t extra : { 0, 1 }) {
 		SCOPED_TRACE(extra);
@@ -184,7 +191,8 @@
 			snprintf(list[i].id, PH_NAME_BYTES, "x%zu", i);
 		ph_directory_read(d, 1000, 1000, list.data(), 1);
 		ph_directory_read(d, 2000, 2000, list.data(), list.size());
-		EXPECT_EQ(ph_directory_last_change(d, 2000, change.get()), !extra);
+		EXPECT_EQ(ph_directory_last_change(d, 2000, change.get()),
+			  !extra);
 		ph_directory_free(d);
 	}
 }
--- a/test/test_ident.cc
+++ b/test/test_ident.cc
@@ -14,7 +14,7 @@
 	bool valid;
 };
 
-TEST(Ident, JobIds)
+TEST(Ident, ValidAndInvalidJobIds)
 {
 	const std::string longest(95, 'x');
 	const std::string too_long(96, 'x');
@@ -39,7 +39,7 @@
 	int home;
 };
 
-TEST(Ident, HomeByPrefix)
+TEST(Ident, HomeDomainIsNamedByPrefixOrChosenByHash)
 {
 	const char *domains[] = { "zona-a", "zona-b", "zona-ab" };
 	const HomeCase cases[] = {
@@ -51,7 +51,7 @@
 	for (const HomeCase &c : cases)
 		EXPECT_EQ(ph_home_domain(c.id, domains, 3), c.home) << c.id;
 	EXPECT_EQ(ph_home_domain("x", domains, 0), -1);
-	/* Without a known prefix the hash decides, the same way each time. */
+	/* Without a known prefix the hash decides, always in the same way. */
 	EXPECT_EQ(ph_home_domain("zona-c~1", domains, 3),
 		  ph_home_domain("zona-c~1", domains, 3));
 }
--- a/test/test_poolmsg.cc
+++ b/test/test_poolmsg.cc
@@ -12,8 +12,8 @@
 namespace
 {
 
-/* A message of a type with its fields set. */
-ph_poolmsg sample(ph_poolmsg_type type)
+/* A message with the fields that all types share. */
+ph_poolmsg message(ph_poolmsg_type type)
 {
 	ph_poolmsg m = {};
 
@@ -45,7 +45,7 @@
 				 m);
 }
 
-ph_batch_request sample_work(char *spec)
+ph_batch_request sample_batch_request(char *spec)
 {
 	ph_batch_request w = {};
 
@@ -62,11 +62,11 @@
 	return w;
 }
 
-TEST(PoolMsg, EveryTypeSurvivesTheWay)
+TEST(PoolMsg, EveryTypeIsDecodedAsEncoded)
 {
 	char spec[] = "text";
 	char doc[] = "{}";
-	ph_batch_request work = sample_work(spec);
+	ph_batch_request request = sample_batch_request(spec);
 	auto change = std::make_unique<ph_list_change>();
 
 	change->digest_before = 3;
@@ -79,7 +79,7 @@
 	snprintf(change->removed[0], PH_NAME_BYTES, "x2");
 	for (int t = PH_POOLMSG_HEARTBEAT; t < PH_POOLMSG_TYPES; t++) {
 		SCOPED_TRACE(t);
-		ph_poolmsg m = sample((ph_poolmsg_type)t);
+		ph_poolmsg m = message((ph_poolmsg_type)t);
 		ph_poolmsg got;
 
 		if (t == PH_POOLMSG_HEARTBEAT) {
@@ -90,7 +90,7 @@
 			m.shards = 4;
 		}
 		if (t == PH_POOLMSG_SUBMIT) {
-			m.work = &work;
+			m.work = &request;
 			snprintf(m.pool, sizeof(m.pool), "north#2");
 		}
 		if (t == PH_POOLMSG_RESULT) {
@@ -113,7 +113,7 @@
 		EXPECT_EQ(got.claims[0].offered, m.claims[0].offered);
 		EXPECT_EQ(got.result.where[1], m.result.where[1]);
 		if (t == PH_POOLMSG_SUBMIT) {
-			EXPECT_STREQ(got.work->job, work.job);
+			EXPECT_STREQ(got.work->job, request.job);
 			EXPECT_EQ(got.work->where[1], 5U);
 			EXPECT_TRUE(ph_bit_get(got.work->done, 2));
 			EXPECT_EQ(got.work->need.gpu, 1U);
@@ -133,23 +133,25 @@
 	}
 }
 
-TEST(PoolMsg, DamagedBytesAreRefusedWhole)
+/* Truncated messages are rejected, and altered bytes cause no memory errors,
+ * also if they decode. */
+TEST(PoolMsg, TruncatedMessagesAreRejectedAndAlteredOnesAreSafe)
 {
 	char spec[] = "text";
-	ph_batch_request work = sample_work(spec);
-	ph_poolmsg m = sample(PH_POOLMSG_SUBMIT);
+	ph_batch_request request = sample_batch_request(spec);
+	ph_poolmsg m = message(PH_POOLMSG_SUBMIT);
 	std::string bytes;
 	ph_poolmsg got;
 
-	m.work = &work;
+	m.work = &request;
 	bytes = encode(m);
 	for (size_t len = 0; len < bytes.size(); len++)
 		EXPECT_NE(decode(bytes.substr(0, len), &got), 0) << len;
 	for (size_t at = 0; at < bytes.size(); at++) {
-		std::string bad = bytes;
+		std::string altered = bytes;
 
-		bad[at] = (char)(bad[at] ^ 0xff);
-		if (!decode(bad, &got))
+		altered[at] = (char)(altered[at] ^ 0xff);
+		if (!decode(altered, &got))
 			ph_poolmsg_clear(ph_mem_default(), &got);
 	}
 }
