--- a/bench/cluster_bench.c
+++ b/bench/cluster_bench.c
@@ -36,10 +36,10 @@
 	return (uint64_t)t.tv_sec * NS_PER_S + (uint64_t)t.tv_nsec;
 }
 
-static void on_acquire(void *ctx, const char *domain, uint64_t token)
+static void on_acquire(void *ctx, const char *pool, uint64_t token)
 {
 	(void)ctx;
-	(void)domain;
+	(void)pool;
 	(void)token;
 }
 
--- a/src/cluster.h
+++ b/src/cluster.h
@@ -50,6 +50,8 @@
 	/** Time since the peer received a heartbeat of this instance, as of the
 	 * peer's last heartbeat; UINT64_MAX: never. */
 	uint64_t heard_self_ago_us;
+	/** When the connection to it was last reset because it receives no
+	 * heartbeats; at first when the peer became known. */
 	uint64_t link_reset_us;
 	/** The peer is back after a restart or silence; the connection opened
 	 * before may be dead and has to be reset. */
@@ -114,14 +116,12 @@
 bool ph_cluster_pool_offered(const struct ph_cluster *cluster, uint64_t now_us,
 			     const char *pool);
 
-/**
- * Callbacks for the actions that a tick decides on. domain is the pool's name.
- */
+/** Callbacks for the actions that a tick decides on. */
 struct ph_cluster_sink {
 	/** This instance now owns the pool, under this fencing token. */
-	void (*acquire)(void *ctx, const char *domain, uint64_t token);
+	void (*acquire)(void *ctx, const char *pool, uint64_t token);
 	/** This instance no longer owns the pool. */
-	void (*release)(void *ctx, const char *domain);
+	void (*release)(void *ctx, const char *pool);
 	/** A heartbeat is due; m is NULL for an address at which no member is
 	 * known yet. */
 	void (*send_heartbeat)(void *ctx, const char *addr,
