--- a/src/dispatcher.c
+++ b/src/dispatcher.c
@@ -112,7 +112,7 @@
 		d->mem->free(m->msg);
 		break;
 	case MAIL_REFUSED:
-		ph_cluster_refused(d->cluster, now_us, m->addr);
+		ph_cluster_connection_refused(d->cluster, now_us, m->addr);
 		break;
 	}
 	d->mem->free(m);
@@ -277,7 +277,7 @@
 		if (len && len < sizeof(seed)) {
 			memcpy(seed, at, len);
 			seed[len] = '\0';
-			ph_cluster_contact(d->cluster, seed);
+			ph_cluster_add_contact(d->cluster, seed);
 		}
 		at += len;
 		at += *at == ',';
--- a/src/dispatcher_executors.c
+++ b/src/dispatcher_executors.c
@@ -94,9 +94,9 @@
 	struct ph_poolmsg msg = { .type = PH_POOLMSG_LIST, .change = change };
 	const struct ph_member *m = NULL;
 
-	if (!ph_directory_change(d->directory, now_us, change))
+	if (!ph_directory_last_change(d->directory, now_us, change))
 		goto out;
-	while ((m = ph_cluster_near(d->cluster, m, now_us)))
+	while ((m = ph_cluster_next_in_domain(d->cluster, m, now_us)))
 		ph_dispatcher_send(d, m->addr, &msg);
 out:
 	d->mem->free(change);
@@ -111,13 +111,13 @@
 	if (!ph_directory_read(d->directory, now_us, requested_us, list, count))
 		return;
 	split_executors(d, now_us);
-	if (!ph_cluster_reader(d->cluster, now_us, &reader))
+	if (!ph_cluster_list_reader(d->cluster, now_us, &reader))
 		send_change_to_domain(d, now_us);
 }
 
 void ph_dispatcher_list_read_failed(struct ph_dispatcher *d, uint64_t now_us)
 {
-	ph_directory_failed(d->directory, now_us);
+	ph_directory_read_failed(d->directory, now_us);
 }
 
 void ph_dispatcher_list_changed(struct ph_dispatcher *d,
@@ -140,7 +140,7 @@
 {
 	const struct ph_member *reader;
 
-	if (!ph_cluster_reader(d->cluster, now_us, &reader))
+	if (!ph_cluster_list_reader(d->cluster, now_us, &reader))
 		return true;
 	if (reader->list_digest == ph_directory_digest(d->directory))
 		ph_directory_confirm(d->directory, reader->list_read_us);
--- a/src/dispatcher_peers.c
+++ b/src/dispatcher_peers.c
@@ -53,7 +53,7 @@
 
 	if (!strcmp(name, d->settings.name))
 		return d->addr;
-	for (m = ph_cluster_first(d->cluster); m; m = m->next)
+	for (m = ph_cluster_first_member(d->cluster); m; m = m->next)
 		if (!strcmp(m->name, name))
 			return m->addr;
 	return NULL;
@@ -188,7 +188,7 @@
 static void request_config(struct ph_dispatcher *d,
 			   const struct ph_poolmsg *heartbeat, uint64_t now_us)
 {
-	struct ph_poolmsg msg = { .type = PH_POOLMSG_CONFIG_WANTED };
+	struct ph_poolmsg msg = { .type = PH_POOLMSG_CONFIG_REQUEST };
 	uint64_t own = d->routing ? d->routing->version : 0;
 
 	if (heartbeat->config_version <= own ||
@@ -220,7 +220,7 @@
 				   .reason = "no such pool here" };
 
 	msg->work = NULL;
-	ph_cluster_contact(d->cluster, msg->addr);
+	ph_cluster_add_contact(d->cluster, msg->addr);
 	ph_dispatcher_send(d, msg->addr, &reply);
 	if (find_result(d, msg->name, msg->seq)) {
 		ph_batch_request_free(d->mem, batch);
@@ -264,7 +264,7 @@
 
 	switch (msg->type) {
 	case PH_POOLMSG_HEARTBEAT:
-		ph_cluster_heard(d->cluster, now_us, msg);
+		ph_cluster_heartbeat_received(d->cluster, now_us, msg);
 		update_shards(d, msg);
 		request_config(d, msg, now_us);
 		break;
@@ -293,7 +293,7 @@
 	case PH_POOLMSG_CANCEL_ACK:
 		ph_submitter_cancelled(d->submitter, msg->seq);
 		break;
-	case PH_POOLMSG_CONFIG_WANTED:
+	case PH_POOLMSG_CONFIG_REQUEST:
 		if (!d->doc)
 			break;
 		reply.type = PH_POOLMSG_CONFIG;
--- a/src/dispatcher_pools.c
+++ b/src/dispatcher_pools.c
@@ -139,14 +139,14 @@
 	while (domain->shards < shards) {
 		ph_pool_shard_name(domain->name, domain->shards++, name);
 		pool_add(d, name);
-		ph_cluster_set_domains(d->cluster,
-				       &d->pools[d->pool_count - 1].domain, 1);
+		ph_cluster_add_pools(d->cluster,
+				     &d->pools[d->pool_count - 1].domain, 1);
 	}
 }
 
 void ph_dispatcher_contact(struct ph_dispatcher *d, const char *addr)
 {
-	ph_cluster_contact(d->cluster, addr);
+	ph_cluster_add_contact(d->cluster, addr);
 }
 
 /* ## Cluster callbacks */
@@ -208,8 +208,8 @@
 			continue;
 		ph_strcopy(c->domain, sizeof(c->domain), d->pools[i].domain);
 		c->token = ph_pool_token(d->pools[i].pool);
-		c->offered = ph_cluster_offers(d->cluster, now_us,
-					       d->pools[i].domain);
+		c->offered = ph_cluster_pool_offered(d->cluster, now_us,
+						     d->pools[i].domain);
 		ph_pool_measure(d->pools[i].pool, now_us, &c->load);
 		msg->claim_count++;
 	}
--- a/src/dispatcher_report.c
+++ b/src/dispatcher_report.c
@@ -71,7 +71,7 @@
 	for (i = 0; i < 4; i++) {
 		snprintf(name, sizeof(name), "peridothall_response_us_%s",
 			 outcomes[i]);
-		ph_histogram_put(&d->counters.response[i], name, out);
+		ph_histogram_write(&d->counters.response[i], name, out);
 	}
 	ph_buf_printf(out,
 		      "peridothall_ready %d\n"
@@ -94,7 +94,7 @@
 		 ph_submitter_count(d->submitter), ph_dispatcher_ready(d),
 		 d->routing ? (unsigned long long)d->routing->version : 0,
 		 ph_cluster_minority(d->cluster, now_us));
-	for (m = ph_cluster_first(d->cluster); m; m = m->next)
+	for (m = ph_cluster_first_member(d->cluster); m; m = m->next)
 		ph_event(PART,
 			 "event=dump_member member=%s silent_us=%llu "
 			 "leaving=%d claims=%u",
--- a/src/submitter.c
+++ b/src/submitter.c
@@ -333,7 +333,7 @@
 	size_t n = 0;
 	uint32_t i;
 
-	for (i = 0; (domain = ph_cluster_domain(s->opt.cluster, i)); i++) {
+	for (i = 0; (domain = ph_cluster_pool_name(s->opt.cluster, i)); i++) {
 		if (i == s->pool_count)
 			grow_pools(s);
 		if (was_tried(j, i) ||
@@ -352,7 +352,7 @@
 	i = s->candidates[s->opt.policy->pick(s->candidates, n,
 					      ph_hash_str(j->batch->job))]
 		    .pool;
-	domain = ph_cluster_domain(s->opt.cluster, i);
+	domain = ph_cluster_pool_name(s->opt.cluster, i);
 	if (!owner_with_load(s, i, domain, now_us, &j->owner))
 		return false;
 	ph_strcopy(j->pool, sizeof(j->pool), domain);
@@ -670,7 +670,7 @@
 {
 	bool owner_lost =
 		j->waiting_for_owner ||
-		!ph_cluster_owner_lives(s->opt.cluster, now_us, &j->owner);
+		!ph_cluster_owner_alive(s->opt.cluster, now_us, &j->owner);
 
 	if (j->waiting_for_first_owner) {
 		dispatch(s, j, now_us);
--- a/src/submitter.h
+++ b/src/submitter.h
@@ -38,7 +38,7 @@
 
 /** A pool that a job may be sent to. */
 struct ph_pool_candidate {
-	/** Index for ph_cluster_domain(). */
+	/** Index for ph_cluster_pool_name(). */
 	uint32_t pool;
 	/** Expected wait, by the policy. */
 	uint64_t wait_us;
--- a/test/submitter_world.cc
+++ b/test/submitter_world.cc
@@ -145,7 +145,7 @@
 			char name[1][PH_NAME_BYTES];
 
 			snprintf(name[0], PH_NAME_BYTES, "%s", p.name.c_str());
-			ph_cluster_set_domains(s->cluster, name, 1);
+			ph_cluster_add_pools(s->cluster, name, 1);
 		}
 		o.mem = ph_mem_default();
 		o.name = m.name;
@@ -223,7 +223,7 @@
 			backlog += t.run_us * kTaskMilli;
 		c->load.backlog_milli_us = backlog;
 		for (auto &s : submitters)
-			ph_cluster_heard(s->cluster, now_us, &m);
+			ph_cluster_heartbeat_received(s->cluster, now_us, &m);
 	}
 }
 
--- a/test/test_poolmsg.cc
+++ b/test/test_poolmsg.cc
@@ -12,8 +12,8 @@
 namespace
 {
 
-/* A message of a type with its fields set. */
-ph_poolmsg sample(ph_poolmsg_type type)
+/* A message with the fields that all types share. */
+ph_poolmsg message(ph_poolmsg_type type)
 {
 	ph_poolmsg m = {};
 
@@ -45,7 +45,7 @@
 				 m);
 }
 
-ph_batch_request sample_work(char *spec)
+ph_batch_request sample_batch_request(char *spec)
 {
 	ph_batch_request w = {};
 
@@ -62,24 +62,24 @@
 	return w;
 }
 
-TEST(PoolMsg, EveryTypeSurvivesTheWay)
+TEST(PoolMsg, EveryTypeIsDecodedAsEncoded)
 {
 	char spec[] = "text";
 	char doc[] = "{}";
-	ph_batch_request work = sample_work(spec);
+	ph_batch_request request = sample_batch_request(spec);
 	auto change = std::make_unique<ph_list_change>();
 
-	change->before = 3;
-	change->after = UINT64_MAX;
-	change->set_count = 1;
-	snprintf(change->set[0].id, PH_NAME_BYTES, "x1");
-	change->set[0].capacity.cpu_milli = 16000;
-	change->set[0].draining = true;
-	change->gone_count = 1;
-	snprintf(change->gone[0], PH_NAME_BYTES, "x2");
+	change->digest_before = 3;
+	change->digest_after = UINT64_MAX;
+	change->updated_count = 1;
+	snprintf(change->updated[0].id, PH_NAME_BYTES, "x1");
+	change->updated[0].capacity.cpu_milli = 16000;
+	change->updated[0].draining = true;
+	change->removed_count = 1;
+	snprintf(change->removed[0], PH_NAME_BYTES, "x2");
 	for (int t = PH_POOLMSG_HEARTBEAT; t < PH_POOLMSG_TYPES; t++) {
 		SCOPED_TRACE(t);
-		ph_poolmsg m = sample((ph_poolmsg_type)t);
+		ph_poolmsg m = message((ph_poolmsg_type)t);
 		ph_poolmsg got;
 
 		if (t == PH_POOLMSG_HEARTBEAT) {
@@ -90,7 +90,7 @@
 			m.shards = 4;
 		}
 		if (t == PH_POOLMSG_SUBMIT) {
-			m.work = &work;
+			m.work = &request;
 			snprintf(m.pool, sizeof(m.pool), "north#2");
 		}
 		if (t == PH_POOLMSG_RESULT) {
@@ -113,43 +113,45 @@
 		EXPECT_EQ(got.claims[0].offered, m.claims[0].offered);
 		EXPECT_EQ(got.result.where[1], m.result.where[1]);
 		if (t == PH_POOLMSG_SUBMIT) {
-			EXPECT_STREQ(got.work->job, work.job);
+			EXPECT_STREQ(got.work->job, request.job);
 			EXPECT_EQ(got.work->where[1], 5U);
 			EXPECT_TRUE(ph_bit_get(got.work->done, 2));
 			EXPECT_EQ(got.work->need.gpu, 1U);
 		}
 		if (t == PH_POOLMSG_LIST) {
-			EXPECT_EQ(got.change->before, 3U);
-			EXPECT_EQ(got.change->after, UINT64_MAX);
-			ASSERT_EQ(got.change->set_count, 1U);
-			EXPECT_STREQ(got.change->set[0].id, "x1");
-			EXPECT_EQ(got.change->set[0].capacity.cpu_milli,
+			EXPECT_EQ(got.change->digest_before, 3U);
+			EXPECT_EQ(got.change->digest_after, UINT64_MAX);
+			ASSERT_EQ(got.change->updated_count, 1U);
+			EXPECT_STREQ(got.change->updated[0].id, "x1");
+			EXPECT_EQ(got.change->updated[0].capacity.cpu_milli,
 				  16000U);
-			EXPECT_TRUE(got.change->set[0].draining);
-			ASSERT_EQ(got.change->gone_count, 1U);
-			EXPECT_STREQ(got.change->gone[0], "x2");
+			EXPECT_TRUE(got.change->updated[0].draining);
+			ASSERT_EQ(got.change->removed_count, 1U);
+			EXPECT_STREQ(got.change->removed[0], "x2");
 		}
 		ph_poolmsg_clear(ph_mem_default(), &got);
 	}
 }
 
-TEST(PoolMsg, DamagedBytesAreRefusedWhole)
+/* Truncated messages are rejected, and altered bytes cause no memory errors,
+ * also if they decode. */
+TEST(PoolMsg, TruncatedMessagesAreRejectedAndAlteredOnesAreSafe)
 {
 	char spec[] = "text";
-	ph_batch_request work = sample_work(spec);
-	ph_poolmsg m = sample(PH_POOLMSG_SUBMIT);
+	ph_batch_request request = sample_batch_request(spec);
+	ph_poolmsg m = message(PH_POOLMSG_SUBMIT);
 	std::string bytes;
 	ph_poolmsg got;
 
-	m.work = &work;
+	m.work = &request;
 	bytes = encode(m);
 	for (size_t len = 0; len < bytes.size(); len++)
 		EXPECT_NE(decode(bytes.substr(0, len), &got), 0) << len;
 	for (size_t at = 0; at < bytes.size(); at++) {
-		std::string bad = bytes;
+		std::string altered = bytes;
 
-		bad[at] = (char)(bad[at] ^ 0xff);
-		if (!decode(bad, &got))
+		altered[at] = (char)(altered[at] ^ 0xff);
+		if (!decode(altered, &got))
 			ph_poolmsg_clear(ph_mem_default(), &got);
 	}
 }
