--- a/bench/load_model.cc
+++ b/bench/load_model.cc
@@ -64,7 +64,7 @@
 	double factor = 1.0;
 	double burst = 1.0;
 	unsigned seed = 1;
-	const ph_order_policy *policy = &ph_order_slack;
+	const ph_scheduling_policy *policy = &ph_scheduling_slack;
 };
 
 struct Sent {
@@ -230,7 +230,7 @@
 
 void compare(Load load, int seeds)
 {
-	for (const ph_order_policy *const *p = ph_order_policies; *p; p++) {
+	for (const ph_scheduling_policy *const *p = ph_scheduling_policies; *p; p++) {
 		Tally kind[kKinds];
 		Tally all;
 
--- a/src/dispatcher_peers.c
+++ b/src/dispatcher_peers.c
@@ -197,7 +197,7 @@
 	uint32_t i;
 
 	for (i = 0; i < work->count; i++)
-		work->where[i] = PH_WHERE_UNKNOWN;
+		work->where[i] = PH_EXECUTOR_UNKNOWN;
 }
 
 static void handle_submit(struct ph_dispatcher *n, struct ph_poolmsg *msg,
--- a/src/dispatcher_pools.c
+++ b/src/dispatcher_pools.c
@@ -56,7 +56,7 @@
 	struct ph_pool_options options = {
 		.mem = n->mem,
 		.domain = domain,
-		.policy = &ph_order_slack,
+		.policy = &ph_scheduling_slack,
 		.lease_us = n->set.lease_us,
 		.stop_us = n->set.stop_us,
 		.first_call = (uint64_t)n->pool_count << PH_POOL_CALL_SHIFT,
--- a/src/pool.c
+++ b/src/pool.c
@@ -10,10 +10,10 @@
 #define US_PER_S 1000000U
 /* Part of a caller's patience for which a batch may wait for its first start:
  * under half of it, so that there is time to be served elsewhere. */
-#define HOLD_PERCENT 45U
+#define MAX_WAIT_PERCENT 45U
 /* Part of the declared run times that executors take at least: some are faster
  * than others. */
-#define LEAST_WAIT_PERCENT 75U
+#define MIN_WAIT_PERCENT 75U
 /* Starts that only time allows are looked for this often. */
 #define PLACE_EVERY_US 10000U
 /* An unlisted executor is kept this long: two of the longest leases, and the
@@ -24,7 +24,7 @@
 #define CANCELLED_US 2000000U
 /* Longest way of a batch: below the time after which its front gives it up and
  * its caller may come again elsewhere. */
-#define WAY_MAX_US 350000U
+#define TRANSIT_MAX_US 350000U
 
 struct ph_pool *ph_pool_new(const struct ph_pool_options *options)
 {
@@ -40,7 +40,7 @@
 
 static void batch_free(struct ph_pool *pool, struct ph_batch *b)
 {
-	ph_batch_request_free(pool->mem, b->work);
+	ph_batch_request_free(pool->mem, b->request);
 	pool->mem->free(b->tasks);
 	pool->mem->free(b);
 }
@@ -50,7 +50,7 @@
 {
 	struct ph_cancelled **at = &pool->cancelled;
 
-	while (*at && now_us < (*at)->made_us + CANCELLED_US)
+	while (*at && now_us < (*at)->cancelled_us + CANCELLED_US)
 		at = &(*at)->next;
 	while (*at) {
 		struct ph_cancelled *c = *at;
@@ -111,12 +111,12 @@
 /* Where a task may be running; with no better word that of before. */
 static uint32_t task_where(const struct ph_batch *b, uint32_t index)
 {
-	if (b->tasks[index].state == PH_SLOT_PLACED)
-		return ph_where(b->tasks[index].run->executor->info.id);
-	return b->work->resumed ? b->work->where[index] : PH_WHERE_NOWHERE;
+	if (b->tasks[index].state == PH_BATCH_TASK_PLACED)
+		return ph_executor_hash(b->tasks[index].run->executor->info.id);
+	return b->request->resumed ? b->request->where[index] : PH_EXECUTOR_NONE;
 }
 
-static void batch_tell(struct ph_pool *pool, struct ph_batch *b,
+static void batch_report(struct ph_pool *pool, struct ph_batch *b,
 		       enum ph_verdict verdict, uint64_t retry_after_us,
 		       const char *reason, uint64_t now_us)
 {
@@ -125,18 +125,18 @@
 				    .reason = reason };
 	uint32_t i;
 
-	for (i = 0; i < b->work->count; i++)
-		if (b->tasks[i].state == PH_SLOT_DONE)
+	for (i = 0; i < b->request->count; i++)
+		if (b->tasks[i].state == PH_BATCH_TASK_DONE)
 			ph_bit_set(result.done, i);
-	for (i = 0; verdict == PH_VERDICT_MOVED && i < b->work->count; i++)
+	for (i = 0; verdict == PH_VERDICT_MOVED && i < b->request->count; i++)
 		result.where[result.count++] = task_where(b, i);
 	ph_event(PART,
 		 "event=batch_end job=%s verdict=%s reason=\"%s\" tasks=%u "
-		 "left=%u held_us=%llu aim_us=%llu estimate_us=%llu",
-		 b->work->job, ph_verdict_name(verdict), reason, b->work->count,
-		 b->left, (unsigned long long)(now_us - b->taken_us),
-		 (unsigned long long)b->work->target_us,
-		 (unsigned long long)b->work->estimate_us);
+		 "left=%u since_received_us=%llu target_us=%llu estimate_us=%llu",
+		 b->request->job, ph_verdict_name(verdict), reason, b->request->count,
+		 b->left, (unsigned long long)(now_us - b->received_us),
+		 (unsigned long long)b->request->target_us,
+		 (unsigned long long)b->request->estimate_us);
 	pool->opt.sink->result(pool->opt.ctx, b->submitter, b->seq, &result);
 }
 
@@ -156,16 +156,16 @@
 {
 	uint32_t i;
 
-	for (i = 0; i < b->work->count; i++)
-		if (b->tasks[i].state == PH_SLOT_PLACED)
+	for (i = 0; i < b->request->count; i++)
+		if (b->tasks[i].state == PH_BATCH_TASK_PLACED)
 			ph_run_abandon(pool, b->tasks[i].run, now_us);
 	batch_remove(pool, b);
 }
 
-void ph_batch_task_back(struct ph_pool *pool, struct ph_batch *b,
+void ph_batch_task_requeue(struct ph_pool *pool, struct ph_batch *b,
 			uint32_t index)
 {
-	b->tasks[index].state = PH_SLOT_WAITING;
+	b->tasks[index].state = PH_BATCH_TASK_WAITING;
 	b->tasks[index].run = NULL;
 	b->waiting++;
 	pool->dirty = true;
@@ -174,24 +174,24 @@
 void ph_batch_task_done(struct ph_pool *pool, struct ph_batch *b,
 			uint32_t index, uint64_t now_us)
 {
-	if (b->tasks[index].state == PH_SLOT_WAITING)
+	if (b->tasks[index].state == PH_BATCH_TASK_WAITING)
 		b->waiting--;
-	b->tasks[index].state = PH_SLOT_DONE;
+	b->tasks[index].state = PH_BATCH_TASK_DONE;
 	b->tasks[index].run = NULL;
 	pool->dirty = true;
 	if (--b->left)
 		return;
-	batch_tell(pool, b, PH_VERDICT_DONE, 0, "", now_us);
+	batch_report(pool, b, PH_VERDICT_DONE, 0, "", now_us);
 	batch_remove(pool, b);
 }
 
 void ph_batch_task_failed(struct ph_pool *pool, struct ph_batch *b,
 			  uint32_t index, uint64_t now_us)
 {
-	ph_batch_task_back(pool, b, index);
-	if (++b->tasks[index].failures < b->work->max_attempts)
+	ph_batch_task_requeue(pool, b, index);
+	if (++b->tasks[index].failures < b->request->max_attempts)
 		return;
-	batch_tell(pool, b, PH_VERDICT_FAILED, 0, "attempts used up", now_us);
+	batch_report(pool, b, PH_VERDICT_FAILED, 0, "attempts used up", now_us);
 	batch_end(pool, b, now_us);
 }
 
@@ -208,30 +208,30 @@
 
 /* ## Resumed batches */
 
-static void adopt_run(struct ph_pool *pool, struct ph_batch *b,
+static void claim_run(struct ph_pool *pool, struct ph_batch *b,
 		      struct ph_executor *x, struct ph_run *run)
 {
-	struct ph_slot *task = &b->tasks[run->index];
+	struct ph_batch_task *task = &b->tasks[run->index];
 
 	ph_capacity_sub(&x->used, &run->need);
-	run->need = b->work->need;
+	run->need = b->request->need;
 	ph_capacity_add(&x->used, &run->need);
 	run->batch = b;
 	run->state = PH_RUN_RUNNING;
 	task->run = run;
-	task->state = PH_SLOT_PLACED;
+	task->state = PH_BATCH_TASK_PLACED;
 	if (task->next_run <= run->run)
 		task->next_run = run->run + 1;
 	b->waiting--;
-	b->work->where[run->index] = PH_WHERE_NOWHERE;
+	b->request->where[run->index] = PH_EXECUTOR_NONE;
 	b->started = true;
 	pool->counters.adopted++;
 }
 
 /* Claims what an earlier owner has started of a batch. */
-static void adopt(struct ph_pool *pool, struct ph_batch *b, uint64_t now_us)
+static void claim_orphans(struct ph_pool *pool, struct ph_batch *b, uint64_t now_us)
 {
-	const char *job = b->work->job;
+	const char *job = b->request->job;
 	struct ph_executor *x;
 	struct ph_run *run;
 	uint32_t i;
@@ -239,15 +239,15 @@
 	for (x = pool->executors; x; x = x->next)
 		for (run = x->runs; run; run = run->next)
 			if (run->state == PH_RUN_ORPHANED &&
-			    run->index < b->work->count &&
-			    b->tasks[run->index].state == PH_SLOT_WAITING &&
+			    run->index < b->request->count &&
+			    b->tasks[run->index].state == PH_BATCH_TASK_WAITING &&
 			    !strcmp(run->job, job))
-				adopt_run(pool, b, x, run);
+				claim_run(pool, b, x, run);
 	for (i = 0; i < PH_ORPHANED_ENDS; i++) {
-		struct ph_orphaned_end *s = &pool->strays[i];
+		struct ph_orphaned_end *s = &pool->orphaned_ends[i];
 
-		if (s->index >= b->work->count || strcmp(s->job, job) != 0 ||
-		    b->tasks[s->index].state != PH_SLOT_WAITING)
+		if (s->index >= b->request->count || strcmp(s->job, job) != 0 ||
+		    b->tasks[s->index].state != PH_BATCH_TASK_WAITING)
 			continue;
 		b->started = true;
 		s->job[0] = '\0';
@@ -266,8 +266,8 @@
 	while (b) {
 		struct ph_batch *next = b->next;
 
-		if (b->work->resumed && b->waiting)
-			adopt(pool, b, now_us);
+		if (b->request->resumed && b->waiting)
+			claim_orphans(pool, b, now_us);
 		b = next;
 	}
 }
@@ -280,8 +280,8 @@
 	uint64_t sum = 0;
 
 	for (b = pool->batches; b; b = b->next)
-		sum += (uint64_t)b->waiting * b->work->need.cpu_milli *
-		       b->work->estimate_us;
+		sum += (uint64_t)b->waiting * b->request->need.cpu_milli *
+		       b->request->estimate_us;
 	return sum;
 }
 
@@ -308,8 +308,8 @@
  * come back or go elsewhere. */
 static uint64_t last_start_us(const struct ph_batch *b)
 {
-	const struct ph_batch_request *w = b->work;
-	uint64_t wait_us = w->caller_timeout_us * HOLD_PERCENT / 100;
+	const struct ph_batch_request *w = b->request;
+	uint64_t wait_us = w->caller_timeout_us * MAX_WAIT_PERCENT / 100;
 	uint64_t useful_us = ph_batch_request_max_useful_wait_us(w);
 
 	if (useful_us < wait_us)
@@ -323,27 +323,27 @@
 
 /* Shortest time until what goes before a batch has been started: all usable
  * executors work on nothing else, and faster than declared. */
-static uint64_t least_wait_us(const struct ph_batch *b)
+static uint64_t min_wait_us(const struct ph_batch *b)
 {
 	if (!b->usable_milli)
 		return 0;
-	return b->ahead_milli_us * LEAST_WAIT_PERCENT / 100 / b->usable_milli;
+	return b->ahead_milli_us * MIN_WAIT_PERCENT / 100 / b->usable_milli;
 }
 
-static bool too_late(const struct ph_batch *b, uint64_t now_us)
+static bool start_overdue(const struct ph_batch *b, uint64_t now_us)
 {
 	if (b->started)
-		return now_us >= b->arrived_us + b->work->caller_timeout_us;
-	return now_us + least_wait_us(b) >= last_start_us(b);
+		return now_us >= b->arrived_us + b->request->caller_timeout_us;
+	return now_us + min_wait_us(b) >= last_start_us(b);
 }
 
-static void give_up(struct ph_pool *pool, struct ph_batch *b, uint64_t now_us)
+static void batch_expire(struct ph_pool *pool, struct ph_batch *b, uint64_t now_us)
 {
 	if (b->started)
-		batch_tell(pool, b, PH_VERDICT_BROKEN, 0,
+		batch_report(pool, b, PH_VERDICT_BROKEN, 0,
 			   "caller's deadline passed", now_us);
 	else
-		batch_tell(pool, b, PH_VERDICT_NOT_RUN,
+		batch_report(pool, b, PH_VERDICT_NOT_RUN,
 			   retry_after(pool, now_us), "no room in time",
 			   now_us);
 	batch_end(pool, b, now_us);
@@ -351,25 +351,25 @@
 
 static struct ph_batch *batch_new(struct ph_pool *pool, uint64_t now_us,
 				  const char *submitter, uint64_t seq,
-				  struct ph_batch_request *work)
+				  struct ph_batch_request *request)
 {
 	struct ph_batch *b = pool->mem->calloc(1, sizeof(*b));
 	uint32_t i;
 
 	ph_strcopy(b->submitter, sizeof(b->submitter), submitter);
 	b->seq = seq;
-	b->work = work;
-	b->taken_us = now_us;
-	b->arrived_us = now_us > work->age_us ? now_us - work->age_us : 0;
-	b->started = work->resumed;
-	b->tasks = pool->mem->calloc(work->count, sizeof(*b->tasks));
-	b->left = work->count;
-	b->waiting = work->count;
-	for (i = 0; i < work->count; i++) {
-		b->tasks[i].next_run = work->first_run;
-		if (!ph_bit_get(work->done, i))
+	b->request = request;
+	b->received_us = now_us;
+	b->arrived_us = now_us > request->age_us ? now_us - request->age_us : 0;
+	b->started = request->resumed;
+	b->tasks = pool->mem->calloc(request->count, sizeof(*b->tasks));
+	b->left = request->count;
+	b->waiting = request->count;
+	for (i = 0; i < request->count; i++) {
+		b->tasks[i].next_run = request->first_run;
+		if (!ph_bit_get(request->done, i))
 			continue;
-		b->tasks[i].state = PH_SLOT_DONE;
+		b->tasks[i].state = PH_BATCH_TASK_DONE;
 		b->left--;
 		b->waiting--;
 	}
@@ -381,7 +381,7 @@
 {
 	struct ph_cancelled *c = pool->mem->calloc(1, sizeof(*c));
 
-	c->made_us = now_us;
+	c->cancelled_us = now_us;
 	c->next = pool->cancelled;
 	pool->cancelled = c;
 	ph_strcopy(c->submitter, sizeof(c->submitter), submitter);
@@ -400,47 +400,47 @@
 }
 
 /* Its front has given it up by now, or is about to. */
-static bool long_on_its_way(const struct ph_batch_request *work,
+static bool delayed_in_transit(const struct ph_batch_request *request,
 			    uint64_t now_us)
 {
-	return work->sent_us && now_us > work->sent_us + WAY_MAX_US;
+	return request->sent_us && now_us > request->sent_us + TRANSIT_MAX_US;
 }
 
 void ph_pool_submit(struct ph_pool *pool, uint64_t now_us,
 		    const char *submitter, uint64_t seq,
-		    struct ph_batch_request *work)
+		    struct ph_batch_request *request)
 {
 	struct ph_batch *b;
 
 	if (batch_find(pool, submitter, seq) ||
 	    was_cancelled(pool, submitter, seq)) {
-		ph_batch_request_free(pool->mem, work);
+		ph_batch_request_free(pool->mem, request);
 		return;
 	}
-	b = batch_new(pool, now_us, submitter, seq, work);
+	b = batch_new(pool, now_us, submitter, seq, request);
 	b->next = pool->batches;
 	pool->batches = b;
 	pool->dirty = true;
 	if (!b->left) {
-		batch_tell(pool, b, PH_VERDICT_DONE, 0, "", now_us);
+		batch_report(pool, b, PH_VERDICT_DONE, 0, "", now_us);
 		batch_remove(pool, b);
 		return;
 	}
 	if (!pool->owned) {
-		batch_tell(pool, b, PH_VERDICT_MOVED, 0, "not the owner",
+		batch_report(pool, b, PH_VERDICT_MOVED, 0, "not the owner",
 			   now_us);
 		batch_remove(pool, b);
 		return;
 	}
-	if (long_on_its_way(work, now_us)) {
-		batch_tell(
+	if (delayed_in_transit(request, now_us)) {
+		batch_report(
 			pool, b,
-			work->resumed ? PH_VERDICT_BROKEN : PH_VERDICT_NOT_RUN,
+			request->resumed ? PH_VERDICT_BROKEN : PH_VERDICT_NOT_RUN,
 			retry_after(pool, now_us), "long on its way", now_us);
 		batch_remove(pool, b);
 		return;
 	}
-	if (work->resumed)
+	if (request->resumed)
 		ph_pool_claim_orphans(pool, now_us);
 	ph_pool_tick(pool, now_us);
 }
@@ -454,7 +454,7 @@
 		remember_cancelled(pool, now_us, submitter, seq);
 	if (!b)
 		return;
-	ph_event(PART, "event=batch_cancelled job=%s left=%u", b->work->job,
+	ph_event(PART, "event=batch_cancelled job=%s left=%u", b->request->job,
 		 b->left);
 	batch_end(pool, b, now_us);
 	ph_pool_tick(pool, now_us);
@@ -469,7 +469,7 @@
 		struct ph_batch *next = b->next;
 
 		if (!strcmp(b->submitter, submitter)) {
-			batch_tell(pool, b,
+			batch_report(pool, b,
 				   b->started ? PH_VERDICT_BROKEN
 					      : PH_VERDICT_NOT_RUN,
 				   retry_after(pool, now_us),
@@ -495,9 +495,9 @@
 	/* Also an owner that was fenced looks again: another one was at work.
 	 */
 	for (x = pool->executors; x; x = x->next) {
-		x->known = false;
-		x->look_call = 0;
-		x->look_again_us = now_us;
+		x->polled = false;
+		x->poll_call = 0;
+		x->next_poll_us = now_us;
 	}
 }
 
@@ -513,16 +513,16 @@
 	while (pool->batches) {
 		struct ph_batch *b = pool->batches;
 
-		batch_tell(pool, b, PH_VERDICT_MOVED, 0, "another owner",
+		batch_report(pool, b, PH_VERDICT_MOVED, 0, "another owner",
 			   now_us);
 		batch_remove(pool, b);
 	}
 	for (x = pool->executors; x; x = x->next) {
 		while (x->runs)
 			ph_run_drop(pool, x, x->runs);
-		x->known = false;
-		x->look_call = 0;
-		x->look_failures = 0;
+		x->polled = false;
+		x->poll_call = 0;
+		x->poll_failures = 0;
 		x->clock_ms = 0;
 		x->lease_ms = 0;
 	}
@@ -534,8 +534,8 @@
 	struct ph_executor *x = pool->mem->calloc(1, sizeof(*x));
 
 	x->info = *info;
-	x->look_again_us = now_us;
-	x->pace_percent = 100;
+	x->next_poll_us = now_us;
+	x->run_time_percent = 100;
 	x->next = pool->executors;
 	pool->executors = x;
 	return x;
@@ -596,8 +596,8 @@
 	while (b) {
 		struct ph_batch *next = b->next;
 
-		if (too_late(b, now_us))
-			give_up(pool, b, now_us);
+		if (start_overdue(b, now_us))
+			batch_expire(pool, b, now_us);
 		b = next;
 	}
 	if (pool->dirty || now_us >= pool->placed_us + PLACE_EVERY_US)
--- a/src/pool.h
+++ b/src/pool.h
@@ -2,51 +2,55 @@
 #define PH_POOL_H
 
 /*
- * The pool of a failure domain's executors at its owner: who has room, which
- * batch's task starts next and where, what is renewed, stopped and taken note
- * of. It reads no clock and opens no socket.
+ * State and decisions of the instance that owns a pool of executors: it tracks
+ * their free capacity, chooses which task starts next and on which executor,
+ * renews leases and stops runs. Callers pass in the time and carry out the
+ * calls: this code reads no clock and opens no socket.
  */
 
 #include "pool_types.h"
 
 struct ph_pool;
 
-/** Where the pool's calls and outcomes go. */
+/** Callbacks that carry out the pool's calls and receive batch results. */
 struct ph_pool_sink {
 	void (*poll)(void *ctx, const struct ph_poll *poll);
-	void (*start)(void *ctx, const struct ph_run_command *order);
-	void (*stop)(void *ctx, const struct ph_run_command *order);
-	/** Outcome of the batch that was submitted as (submitter, seq). */
+	void (*start)(void *ctx, const struct ph_run_command *command);
+	void (*stop)(void *ctx, const struct ph_run_command *command);
+	/** Outcome of the batch that was submitted as (submitter, seq); result
+	 * is valid during the call only. */
 	void (*result)(void *ctx, const char *submitter, uint64_t seq,
 		       const struct ph_result *result);
 };
 
 struct ph_batch;
 
-/** Order of starts; a variant of the policy. */
-struct ph_order_policy {
+/** Decides in which order waiting batches get free capacity. */
+struct ph_scheduling_policy {
 	const char *name;
-	/** True if a's next task goes before b's. */
+	/** True if a's next task is to start before b's. */
 	bool (*before)(const struct ph_batch *a, const struct ph_batch *b,
 		       uint64_t now_us);
 };
 
-/** Latest safe start first; what can't meet its aim any more yields. */
-extern const struct ph_order_policy ph_order_slack;
-/** The baseline: by arrival. */
-extern const struct ph_order_policy ph_order_fifo;
-/** All of them, NULL at the end. */
-extern const struct ph_order_policy *const ph_order_policies[];
+/** Least slack first: earliest latest start that still meets the latency
+ * target. Started batches precede others; batches that can no longer meet
+ * their target come last. */
+extern const struct ph_scheduling_policy ph_scheduling_slack;
+/** By arrival at the pool; the baseline for comparisons. */
+extern const struct ph_scheduling_policy ph_scheduling_fifo;
+/** All policies; NULL-terminated. */
+extern const struct ph_scheduling_policy *const ph_scheduling_policies[];
 
 struct ph_pool_options {
 	const struct ph_mem *mem;
 	const char *domain;
-	const struct ph_order_policy *policy;
-	/** Lease of what runs, at most what executors allow. */
+	const struct ph_scheduling_policy *policy;
+	/** Duration of run leases; at most what executors grant. */
 	uint64_t lease_us;
-	/** Longest time that an acknowledged stop takes. */
+	/** Longest time from a stop's acknowledgement to the end of the run. */
 	uint64_t stop_us;
-	/** Handles of calls lie above this. */
+	/** Call ids are assigned in increasing order, starting above this. */
 	uint64_t first_call;
 	const struct ph_pool_sink *sink;
 	void *ctx;
@@ -55,38 +59,44 @@
 struct ph_pool *ph_pool_new(const struct ph_pool_options *options);
 void ph_pool_free(struct ph_pool *pool);
 
-/** Becomes the owner, with a token above all earlier owners'. */
+/** Becomes the owner, or renews ownership; token must be higher than all
+ * tokens of earlier owners. */
 void ph_pool_acquire(struct ph_pool *pool, uint64_t now_us, uint64_t token);
 
-/** Another owner took over: every batch is moved, all runs are forgotten. */
+/** Another instance took over: ends every batch as PH_VERDICT_MOVED and drops
+ * all runs from the state without stopping them. */
 void ph_pool_release(struct ph_pool *pool, uint64_t now_us);
 
 bool ph_pool_owned(const struct ph_pool *pool);
 uint64_t ph_pool_token(const struct ph_pool *pool);
 
-/** True if an executor has refused the token; the owner has to raise it. */
+/** True if an executor has refused the token as too low. No task starts until
+ * the owner acquires the pool again with a higher one. */
 bool ph_pool_fenced(const struct ph_pool *pool);
 
 /**
- * Replaces the list of the pool's executors. True if it still has some that
- * have left the list, for a while: the update is to be repeated.
+ * Replaces the list of the pool's executors. Returns true while executors that
+ * have left the list are still tracked; the caller then repeats the update.
  */
 bool ph_pool_update(struct ph_pool *pool, uint64_t now_us,
 		    const struct ph_executor_info *list, size_t count);
 
 /**
- * Takes a batch over; (submitter, seq) names it, a repeated or cancelled one is
- * ignored. One that was long on its way is refused: its front has given it up.
+ * Submits a batch and takes ownership of request. (submitter, seq) identifies
+ * it; a duplicate or a cancelled batch is ignored. A batch that was in transit
+ * for too long is refused, as its submitter no longer waits for it.
  */
 void ph_pool_submit(struct ph_pool *pool, uint64_t now_us,
 		    const char *submitter, uint64_t seq,
-		    struct ph_batch_request *work);
+		    struct ph_batch_request *request);
 
-/** The caller has gone: stops what runs of a batch. */
+/** The caller disconnected: stops the batch's runs and drops the batch without
+ * a result. */
 void ph_pool_cancel(struct ph_pool *pool, uint64_t now_us,
 		    const char *submitter, uint64_t seq);
 
-/** An entry instance is silent: stops all its batches. */
+/** The submitting instance sends no heartbeats any more: ends all its batches
+ * and stops their runs. */
 void ph_pool_submitter_lost(struct ph_pool *pool, uint64_t now_us,
 			    const char *submitter);
 
@@ -97,16 +107,16 @@
 void ph_pool_stop_done(struct ph_pool *pool, uint64_t now_us, uint64_t call_id,
 		       const struct ph_run_command_reply *reply);
 
-/** Time-outs, renewals and starts; at least every 20 ms. */
+/** Handles time-outs, lease renewals and starts; call at least every 20 ms. */
 void ph_pool_tick(struct ph_pool *pool, uint64_t now_us);
 
-/** What other instances need to know to send work here. */
+/** Load figures by which other instances choose a pool for a job. */
 struct ph_pool_load {
 	uint32_t executors;
 	uint32_t usable;
 	uint32_t capacity_milli;
 	uint32_t free_milli;
-	/** Core time of waiting tasks, in thousandths of a core x 1 us. */
+	/** Estimated core time of waiting tasks, in millicore-microseconds. */
 	uint64_t backlog_milli_us;
 	uint32_t batches;
 };
--- a/src/pool_impl.h
+++ b/src/pool_impl.h
@@ -2,31 +2,32 @@
 #define PH_POOL_IMPL_H
 
 /* Shared by the parts of the pool: pool.c (batches), pool_lease.c (leases and
- * orders), pool_poll.c (looks), pool_placement.c (where and in which order
- * tasks start). */
+ * run commands), pool_poll.c (polls of executors), pool_placement.c (in which
+ * order tasks start, and on which executors). */
 
 #include "pool.h"
 
 #define PH_US_PER_MS 1000U
-/* Longest wait for an answer: leaves time to repeat a look before the lease
- * that it renews has ended. */
-#define PH_ANSWER_MAX_US 200000U
-
-enum ph_slot_state {
-	PH_SLOT_WAITING,
-	/** Ordered or running; its run tells where. */
-	PH_SLOT_PLACED,
-	PH_SLOT_DONE,
+/* Longest wait for a call's answer: leaves time to repeat a poll before the
+ * lease that it renews expires. */
+#define PH_CALL_TIMEOUT_MAX_US 200000U
+
+enum ph_batch_task_state {
+	PH_BATCH_TASK_WAITING,
+	/** Has a run, which may be starting, running or stopping. */
+	PH_BATCH_TASK_PLACED,
+	PH_BATCH_TASK_DONE,
 };
 
 struct ph_run;
 
 /** One task of a batch. */
-struct ph_slot {
-	enum ph_slot_state state;
+struct ph_batch_task {
+	enum ph_batch_task_state state;
 	uint32_t failures;
-	/** Times that it was taken from an executor that stood still. */
+	/** Times that it was moved because its run made too little progress. */
 	uint32_t moves;
+	/** The current run if placed, else NULL. */
 	struct ph_run *run;
 	/** Number of its next run. */
 	uint64_t next_run;
@@ -36,31 +37,38 @@
 	struct ph_batch *next;
 	char submitter[PH_NAME_BYTES];
 	uint64_t seq;
-	struct ph_batch_request *work;
-	/** When the caller's request arrived, on this clock. */
+	struct ph_batch_request *request;
+	/** When the caller's request arrived at its submitter, on the local
+	 * clock. */
 	uint64_t arrived_us;
-	uint64_t taken_us;
-	/** Something of it was started, here or by an earlier owner. */
+	/** When the pool received the batch. */
+	uint64_t received_us;
+	/** A task of it was started, here or by an earlier owner. */
 	bool started;
-	/** Looked at in the present round of placement. */
-	bool passed;
-	/** Core time of what waits for the same executors and goes before it,
-	 * as of the last round, and the capacity of its service's usable ones;
-	 * 0: nothing does, or none is usable. */
+	/** Already handled in the current placement round. */
+	bool visited;
+	/** Core time, in millicore-microseconds, of waiting tasks that need the
+	 * same executors and precede this batch; as of the last round. */
 	uint64_t ahead_milli_us;
+	/** Capacity of the service's usable executors in thousandths of a core;
+	 * set only if ahead_milli_us isn't 0. */
 	uint64_t usable_milli;
+	/** Tasks in state PH_BATCH_TASK_WAITING. */
 	uint32_t waiting;
+	/** Tasks that are not done. */
 	uint32_t left;
-	struct ph_slot *tasks;
+	struct ph_batch_task *tasks;
 };
 
 enum ph_run_state {
-	/** Ordered; no answer yet. */
-	PH_RUN_ORDERED,
+	/** The start command was sent; not confirmed yet. */
+	PH_RUN_STARTING,
 	PH_RUN_RUNNING,
-	/** To be stopped; holds its room until its end is seen. */
+	/** Being stopped; keeps its capacity reserved until its end is
+	 * reported or certain. */
 	PH_RUN_STOPPING,
-	/** Found at a take-over; may be claimed by a resumed batch. */
+	/** Reported by a poll, but not started by this owner; a resumed batch
+	 * may claim it. */
 	PH_RUN_ORPHANED,
 };
 
@@ -73,57 +81,66 @@
 	uint64_t run;
 	struct ph_capacity need;
 	enum ph_run_state state;
-	/** NULL once nobody waits for it. */
+	/** The batch that waits for its end, or NULL. */
 	struct ph_batch *batch;
-	uint64_t ordered_us;
-	/** An order was answered then; 0: not yet. */
+	/** When its start was sent, or when a poll first reported it. */
+	uint64_t created_us;
+	/** When the latest start or stop command was acknowledged; 0: not yet.
+	 */
 	uint64_t acked_us;
 	uint64_t stop_sent_us;
 	bool stop_pending;
-	/** Progress as last seen. */
+	/** Progress as last reported. */
 	uint32_t percent;
 };
 
-/** Failures of a kind in a row, and until when they keep work away. */
-struct ph_blame {
+/** Consecutive failures of one kind; no tasks are placed until until_us. */
+struct ph_backoff {
 	uint32_t count;
-	uint64_t avoid_us;
+	uint64_t until_us;
 };
 
 struct ph_executor {
 	struct ph_executor *next;
 	struct ph_executor_info info;
 	bool listed;
-	/** When it left the list. */
+	/** When it left the platform's list. */
 	uint64_t unlisted_us;
 	struct ph_capacity used;
 	struct ph_run *runs;
+	/** Start time of its current incarnation, as it reported. */
 	uint64_t started_ms;
-	/** A look of this ownership has been answered. */
-	bool known;
+	/** A poll has been answered since this instance acquired the pool. */
+	bool polled;
+	/** Number of the last end that was processed. */
 	uint64_t ends_seen;
-	/** The executor's clock at a time of ours; 0: unknown. */
+	/** The executor's clock, read at clock_us; 0: unknown. */
 	uint64_t clock_ms;
+	/** The local time at which clock_ms was received. */
 	uint64_t clock_us;
-	/** Latest lease end ever sent, on the executor's clock. */
+	/** Latest lease end sent, on the executor's clock. */
 	uint64_t lease_ms;
-	uint64_t look_call;
-	uint64_t look_sent_us;
-	uint64_t look_ok_us;
-	uint64_t look_again_us;
-	uint32_t look_failures;
-	/** Runs that failed or crawled there, and orders that it refused. */
-	struct ph_blame own;
-	/** Orders without an answer; they may have got lost by the way. */
-	struct ph_blame lost;
-	/** Looks had failed before the one that was answered last: ends may
-	 * have been seen late. */
-	bool blind;
-	/** Run time against the declared one, in percent; smoothed. */
-	uint32_t pace_percent;
+	/** Id of the poll under way; 0: none. */
+	uint64_t poll_call;
+	uint64_t poll_sent_us;
+	uint64_t poll_ok_us;
+	uint64_t next_poll_us;
+	/** Consecutive polls without success. */
+	uint32_t poll_failures;
+	/** Runs that failed or were too slow, and start commands that it
+	 * refused. */
+	struct ph_backoff faults;
+	/** Commands that were not sent or not answered; the network may have
+	 * lost them. */
+	struct ph_backoff unanswered;
+	/** The poll answered last followed failed ones, so the ends that it
+	 * reported may be older than they seem. */
+	bool ends_delayed;
+	/** Smoothed actual run time in percent of the declared one. */
+	uint32_t run_time_percent;
 };
 
-/** An order under way. */
+/** A run command that has been sent and not yet answered. */
 struct ph_pending_command {
 	struct ph_pending_command *next;
 	uint64_t id;
@@ -135,7 +152,8 @@
 	uint64_t sent_us;
 };
 
-/** An end that came before the resumed batch that it belongs to. */
+/** A successful end, reported before the resumed batch that it belongs to was
+ * submitted. */
 struct ph_orphaned_end {
 	char job[PH_JOB_BYTES];
 	uint32_t index;
@@ -144,10 +162,11 @@
 
 #define PH_ORPHANED_ENDS 512U
 
-/** A batch that was cancelled, and may come after its cancellation. */
+/** A cancelled batch; kept because its submission may arrive after the
+ * cancellation. */
 struct ph_cancelled {
 	struct ph_cancelled *next;
-	uint64_t made_us;
+	uint64_t cancelled_us;
 	char submitter[PH_NAME_BYTES];
 	uint64_t seq;
 };
@@ -163,91 +182,105 @@
 	struct ph_executor *executors;
 	struct ph_batch *batches;
 	struct ph_pending_command *calls;
-	struct ph_orphaned_end strays[PH_ORPHANED_ENDS];
-	uint32_t stray_next;
+	/** Ring buffer. */
+	struct ph_orphaned_end orphaned_ends[PH_ORPHANED_ENDS];
+	/** Number of ends stored so far; the next one's index, modulo the size.
+	 */
+	uint32_t orphaned_end_next;
 	struct ph_cancelled *cancelled;
 	struct ph_pool_counters counters;
-	/** Time from an order to its answer, smoothed. */
-	uint64_t answer_us;
-	/** Likewise, of those that were answered. */
-	uint64_t answered_us;
-	/** Looks without an answer in a thousand, smoothed. */
-	uint32_t lost_permille;
-	/** More executors have left orders unanswered than can be to blame:
-	 * none is avoided for that. */
-	bool blameless;
-	/** Looks get lost: they are kept short. */
-	bool short_looks;
-	/** Something changed: starts are to be looked at again. */
+	/** Smoothed time from a run command to its answer; a missing answer
+	 * counts with part of the time-out. */
+	uint64_t call_us;
+	/** Smoothed time to the answer of the commands that were answered. */
+	uint64_t answered_call_us;
+	/** Smoothed share of polls without an answer, in thousandths. */
+	uint32_t lost_polls_permille;
+	/** So many executors have left commands unanswered that the network is
+	 * the likely cause: unanswered commands cause no back-off. */
+	bool widespread_loss;
+	/** Polls get lost, so long polls wait for a shorter time. */
+	bool short_polls;
+	/** The state changed since the last placement round. */
 	bool dirty;
+	/** Time of the last placement round. */
 	uint64_t placed_us;
 };
 
 /* ## pool.c */
 
-/** A task's run is over without success; it waits again. */
-void ph_batch_task_back(struct ph_pool *pool, struct ph_batch *batch,
-			uint32_t index);
+/** A task's run is over without success: sets the task to wait again. */
+void ph_batch_task_requeue(struct ph_pool *pool, struct ph_batch *batch,
+			   uint32_t index);
+/** Marks a task as done; the batch is freed after its last task. */
 void ph_batch_task_done(struct ph_pool *pool, struct ph_batch *batch,
 			uint32_t index, uint64_t now_us);
+/** Counts a failed attempt; the batch fails and is freed if the task has none
+ * left, else the task waits again. */
 void ph_batch_task_failed(struct ph_pool *pool, struct ph_batch *batch,
 			  uint32_t index, uint64_t now_us);
 
-/** Lets resumed batches claim the runs and ends that are known by now. */
+/** Lets resumed batches claim the orphaned runs and ends reported so far. */
 void ph_pool_claim_orphans(struct ph_pool *pool, uint64_t now_us);
 
 /* ## pool_lease.c */
 
 struct ph_executor *ph_executor_find(struct ph_pool *pool, const char *id);
 void ph_executor_free(struct ph_pool *pool, struct ph_executor *executor);
-/** Adds a run, which takes its room. */
+/** Adds a run and reserves its capacity. */
 struct ph_run *ph_run_add(struct ph_pool *pool, struct ph_executor *executor,
 			  const char *job, uint32_t index, uint64_t number,
 			  const struct ph_capacity *need, uint64_t now_us);
-/** Drops a run and its room; tells the batch nothing. */
+/** Frees a run and its capacity without notifying its batch. */
 void ph_run_drop(struct ph_pool *pool, struct ph_executor *executor,
 		 struct ph_run *run);
-/** Orders a task's next run on an executor. */
+/** Starts a task's next run on an executor. */
 void ph_run_start(struct ph_pool *pool, struct ph_executor *executor,
 		  struct ph_batch *batch, uint32_t index, uint64_t now_us);
-/** Stops a run; nobody waits for its end any more. */
+/** Detaches a run from its batch and stops it. */
 void ph_run_abandon(struct ph_pool *pool, struct ph_run *run, uint64_t now_us);
-/** How long a call waits for its answer before its end is unknown. */
+/** Time-out of a call; without an answer until then its outcome is unknown. */
 uint64_t ph_pool_timeout_us(const struct ph_pool *pool);
-/** Lease end to send now, on the executor's clock; 0 if that is unknown. */
+/** Lease end to send now, on the executor's clock; 0 if that clock is unknown.
+ */
 uint64_t ph_lease_end(struct ph_pool *pool, struct ph_executor *executor,
 		      uint64_t now_us);
 struct ph_run *ph_run_find(struct ph_executor *executor, const char *job,
 			   uint32_t index, uint64_t run);
-/** The run has ended or never was: its task waits again. */
-void ph_run_lost(struct ph_pool *pool, struct ph_executor *executor,
-		 struct ph_run *run);
-/** Orders the stop of a run; its batch waits for the end. */
+/** Frees a run that ended without success or never began; its task waits
+ * again. */
+void ph_run_drop_requeue(struct ph_pool *pool, struct ph_executor *executor,
+			 struct ph_run *run);
+/** Sends a stop command; the run's batch, if any, waits for the end. */
 void ph_run_stop(struct ph_pool *pool, struct ph_executor *executor,
 		 struct ph_run *run, uint64_t now_us);
-/** An executor has refused the token. */
+/** Handles the refusal of the token by an executor. */
 void ph_pool_fenced_by(struct ph_pool *pool,
 		       const struct ph_executor *executor);
-/** Looks, lapses and stops that are due. */
+/** Sends polls and stops that are due and drops runs whose lease expired. */
 void ph_lease_tick(struct ph_pool *pool, uint64_t now_us);
-/** A call to the executor failed or worked. */
-void ph_executor_failed(struct ph_executor *executor, struct ph_blame *blame,
-			uint64_t now_us);
-void ph_executor_worked(struct ph_executor *executor);
+/** Counts a failure; from the second in a row on the executor is avoided for a
+ * while. */
+void ph_executor_failed(struct ph_executor *executor,
+			struct ph_backoff *backoff, uint64_t now_us);
+/** Resets the failure counts after a successful run. */
+void ph_executor_succeeded(struct ph_executor *executor);
 
 /* ## pool_poll.c */
 
-/** Sends the next look at an executor; it renews what runs there. */
+/** Polls an executor, which renews the lease of its runs unless the poll
+ * before failed. */
 void ph_poll_send(struct ph_pool *pool, struct ph_executor *executor,
 		  uint64_t now_us);
 
 /* ## pool_placement.c */
 
-/** Starts what fits, in the policy's order. */
+/** Starts all waiting tasks that fit, in the order of the policy. */
 void ph_pool_place(struct ph_pool *pool, uint64_t now_us);
+/** True if tasks may be placed on the executor. */
 bool ph_executor_usable(const struct ph_pool *pool,
 			const struct ph_executor *executor, uint64_t now_us);
-/** Latest start of a task that still meets the batch's aim. */
+/** Latest start of a task that still meets the batch's latency target. */
 uint64_t ph_batch_latest_start(const struct ph_batch *batch);
 
 #endif
--- a/src/pool_lease.c
+++ b/src/pool_lease.c
@@ -10,10 +10,10 @@
 #define STOP_MARGIN_US 10000U
 /* Time that the batches of a dead owner have to be submitted again before
  * their runs are stopped: two heartbeats and a round trip. */
-#define ADOPT_US 350000U
+#define CLAIM_US 350000U
 /* The platform's bound: an executor's clock may be this much slow. */
 #define CLOCK_SLOW_PERCENT 2U
-#define LAPSE_MARGIN_US 20000U
+#define EXPIRY_MARGIN_US 20000U
 /* Avoidance after consecutive failures; doubles up to the longest. */
 #define AVOID_US 250000U
 #define AVOID_MAX_US 4000000U
@@ -21,15 +21,15 @@
 #define OLD_RUN_STEP 16U
 /* Wait for an answer: some times the usual, as an instance that is busy or
  * slow is late to see one, and several turns of the control thread more. */
-#define ANSWER_FACTOR 4U
-#define ANSWER_EXTRA_US 50000U
+#define TIMEOUT_FACTOR 4U
+#define TIMEOUT_EXTRA_US 50000U
 /* Part of the wait that counts as the time of a missing answer: if all are
  * missing the wait grows to the longest, if few are it hardly grows. */
-#define ANSWER_MISSING_DIVISOR 2U
+#define UNANSWERED_DIVISOR 2U
 /* Share of lost looks from which on the time of answers isn't known. */
-#define MOST_LOST_PERMILLE 600U
+#define UNRELIABLE_LOST_PERMILLE 600U
 /* Weight of one answer's time in the smoothed one. */
-#define ANSWER_WEIGHT 16U
+#define CALL_TIME_WEIGHT 16U
 
 struct ph_executor *ph_executor_find(struct ph_pool *pool, const char *id)
 {
@@ -41,32 +41,32 @@
 	return NULL;
 }
 
-void ph_executor_failed(struct ph_executor *x, struct ph_blame *blame,
+void ph_executor_failed(struct ph_executor *x, struct ph_backoff *backoff,
 			uint64_t now_us)
 {
 	uint32_t shift;
 
-	blame->count++;
-	if (blame->count < 2)
+	backoff->count++;
+	if (backoff->count < 2)
 		return;
-	shift = blame->count - 2;
+	shift = backoff->count - 2;
 	if (shift > AVOID_SHIFT_MAX)
 		shift = AVOID_SHIFT_MAX;
-	blame->avoid_us = now_us + ((uint64_t)AVOID_US << shift);
-	if (blame->avoid_us > now_us + AVOID_MAX_US)
-		blame->avoid_us = now_us + AVOID_MAX_US;
-	if (blame->count == 2)
+	backoff->until_us = now_us + ((uint64_t)AVOID_US << shift);
+	if (backoff->until_us > now_us + AVOID_MAX_US)
+		backoff->until_us = now_us + AVOID_MAX_US;
+	if (backoff->count == 2)
 		ph_event(PART, "event=executor_avoided executor=%s cause=%s",
 			 x->info.id,
-			 blame == &x->lost ? "unanswered" : "failures");
+			 backoff == &x->unanswered ? "unanswered" : "failures");
 }
 
-void ph_executor_worked(struct ph_executor *x)
+void ph_executor_succeeded(struct ph_executor *x)
 {
-	if (x->own.count >= 2 || x->lost.count >= 2)
-		ph_event(PART, "event=executor_back executor=%s", x->info.id);
-	memset(&x->own, 0, sizeof(x->own));
-	memset(&x->lost, 0, sizeof(x->lost));
+	if (x->faults.count >= 2 || x->unanswered.count >= 2)
+		ph_event(PART, "event=executor_recovered executor=%s", x->info.id);
+	memset(&x->faults, 0, sizeof(x->faults));
+	memset(&x->unanswered, 0, sizeof(x->unanswered));
 }
 
 /* ## Runs */
@@ -93,7 +93,7 @@
 	run->run = number;
 	run->need = *need;
 	run->executor = x;
-	run->ordered_us = now_us;
+	run->created_us = now_us;
 	run->next = x->runs;
 	x->runs = run;
 	ph_capacity_add(&x->used, need);
@@ -114,7 +114,7 @@
 }
 
 /* The run has ended or never was: its task waits again. */
-void ph_run_lost(struct ph_pool *pool, struct ph_executor *x,
+void ph_run_drop_requeue(struct ph_pool *pool, struct ph_executor *x,
 		 struct ph_run *run)
 {
 	struct ph_batch *batch = run->batch;
@@ -122,7 +122,7 @@
 
 	ph_run_drop(pool, x, run);
 	if (batch)
-		ph_batch_task_back(pool, batch, index);
+		ph_batch_task_requeue(pool, batch, index);
 }
 
 void ph_executor_free(struct ph_pool *pool, struct ph_executor *x)
@@ -155,9 +155,9 @@
 
 static uint64_t timeout_us(uint64_t usual_us)
 {
-	uint64_t us = ANSWER_FACTOR * usual_us + ANSWER_EXTRA_US;
+	uint64_t us = TIMEOUT_FACTOR * usual_us + TIMEOUT_EXTRA_US;
 
-	return us < PH_ANSWER_MAX_US ? us : PH_ANSWER_MAX_US;
+	return us < PH_CALL_TIMEOUT_MAX_US ? us : PH_CALL_TIMEOUT_MAX_US;
 }
 
 /* Where some calls get lost, an answer that hasn't come in the usual time of
@@ -165,29 +165,29 @@
 uint64_t ph_pool_timeout_us(const struct ph_pool *pool)
 {
 	bool some_lost =
-		pool->short_looks && pool->lost_permille < MOST_LOST_PERMILLE;
+		pool->short_polls && pool->lost_polls_permille < UNRELIABLE_LOST_PERMILLE;
 
-	return timeout_us(some_lost ? pool->answered_us : pool->answer_us);
+	return timeout_us(some_lost ? pool->answered_call_us : pool->call_us);
 }
 
 static uint64_t smoothed(uint64_t usual_us, uint64_t took_us)
 {
-	return ((ANSWER_WEIGHT - 1) * usual_us + took_us) / ANSWER_WEIGHT;
+	return ((CALL_TIME_WEIGHT - 1) * usual_us + took_us) / CALL_TIME_WEIGHT;
 }
 
-static void learn_answer(struct ph_pool *pool, enum ph_call_status status,
+static void record_call(struct ph_pool *pool, enum ph_call_status status,
 			 uint64_t took_us)
 {
-	uint64_t missing_us = ph_pool_timeout_us(pool) / ANSWER_MISSING_DIVISOR;
+	uint64_t missing_us = ph_pool_timeout_us(pool) / UNANSWERED_DIVISOR;
 
 	if (status == PH_CALL_UNSENT)
 		return;
 	if (status == PH_CALL_UNKNOWN) {
-		pool->answer_us = smoothed(pool->answer_us, missing_us);
+		pool->call_us = smoothed(pool->call_us, missing_us);
 		return;
 	}
-	pool->answer_us = smoothed(pool->answer_us, took_us);
-	pool->answered_us = smoothed(pool->answered_us, took_us);
+	pool->call_us = smoothed(pool->call_us, took_us);
+	pool->answered_call_us = smoothed(pool->answered_call_us, took_us);
 }
 
 /* Takes a call out of the list; the caller frees it. */
@@ -220,7 +220,7 @@
 }
 
 /* When every lease that was ever sent has run out, on this clock. */
-static uint64_t lapse_us(const struct ph_executor *x)
+static uint64_t lease_expiry_us(const struct ph_executor *x)
 {
 	uint64_t left_us;
 
@@ -230,58 +230,58 @@
 		return x->clock_us;
 	left_us = (x->lease_ms - x->clock_ms) * PH_US_PER_MS;
 	return x->clock_us + left_us + left_us * CLOCK_SLOW_PERCENT / 100 +
-	       LAPSE_MARGIN_US;
+	       EXPIRY_MARGIN_US;
 }
 
-static void order_fill(struct ph_pool *pool, const struct ph_executor *x,
-		       const struct ph_run *run, struct ph_run_command *order)
+static void command_init(struct ph_pool *pool, const struct ph_executor *x,
+		       const struct ph_run *run, struct ph_run_command *command)
 {
-	order->executor = x->info.id;
-	order->addr = x->info.addr;
-	order->job = run->job;
-	order->index = run->index;
-	order->run = run->run;
-	order->token = pool->token;
-	order->timeout_us = ph_pool_timeout_us(pool);
+	command->executor = x->info.id;
+	command->addr = x->info.addr;
+	command->job = run->job;
+	command->index = run->index;
+	command->run = run->run;
+	command->token = pool->token;
+	command->timeout_us = ph_pool_timeout_us(pool);
 }
 
 void ph_run_start(struct ph_pool *pool, struct ph_executor *x,
 		  struct ph_batch *batch, uint32_t index, uint64_t now_us)
 {
-	struct ph_slot *task = &batch->tasks[index];
+	struct ph_batch_task *task = &batch->tasks[index];
 	struct ph_run *run =
-		ph_run_add(pool, x, batch->work->job, index, task->next_run++,
-			   &batch->work->need, now_us);
-	struct ph_run_command order = { 0 };
+		ph_run_add(pool, x, batch->request->job, index, task->next_run++,
+			   &batch->request->need, now_us);
+	struct ph_run_command command = { 0 };
 
-	run->state = PH_RUN_ORDERED;
+	run->state = PH_RUN_STARTING;
 	run->batch = batch;
 	task->run = run;
-	task->state = PH_SLOT_PLACED;
+	task->state = PH_BATCH_TASK_PLACED;
 	batch->waiting--;
-	batch->work->where[index] = PH_WHERE_NOWHERE;
+	batch->request->where[index] = PH_EXECUTOR_NONE;
 	batch->started = true;
 	pool->counters.starts++;
-	order_fill(pool, x, run, &order);
-	order.call_id = call_new(pool, x, run, false, now_us)->id;
-	order.lease_until_ms = ph_lease_end(pool, x, now_us);
-	order.spec = batch->work->spec;
-	order.spec_len = batch->work->spec_len;
-	pool->opt.sink->start(pool->opt.ctx, &order);
+	command_init(pool, x, run, &command);
+	command.call_id = call_new(pool, x, run, false, now_us)->id;
+	command.lease_until_ms = ph_lease_end(pool, x, now_us);
+	command.spec = batch->request->spec;
+	command.spec_len = batch->request->spec_len;
+	pool->opt.sink->start(pool->opt.ctx, &command);
 }
 
 void ph_run_stop(struct ph_pool *pool, struct ph_executor *x,
 		 struct ph_run *run, uint64_t now_us)
 {
-	struct ph_run_command order = { 0 };
+	struct ph_run_command command = { 0 };
 
 	run->state = PH_RUN_STOPPING;
 	run->acked_us = 0;
 	run->stop_sent_us = now_us;
 	run->stop_pending = true;
-	order_fill(pool, x, run, &order);
-	order.call_id = call_new(pool, x, run, true, now_us)->id;
-	pool->opt.sink->stop(pool->opt.ctx, &order);
+	command_init(pool, x, run, &command);
+	command.call_id = call_new(pool, x, run, true, now_us)->id;
+	pool->opt.sink->stop(pool->opt.ctx, &command);
 }
 
 void ph_run_abandon(struct ph_pool *pool, struct ph_run *run, uint64_t now_us)
@@ -305,7 +305,7 @@
 	switch (status) {
 	case PH_CALL_NO_ROOM:
 		pool->counters.no_room++;
-		x->look_again_us = now_us;
+		x->next_poll_us = now_us;
 		break;
 	case PH_CALL_OLD_RUN:
 		if (run->batch)
@@ -315,22 +315,22 @@
 		ph_pool_fenced_by(pool, x);
 		break;
 	case PH_CALL_OTHER_INCARNATION:
-		x->look_again_us = now_us;
-		x->known = false;
+		x->next_poll_us = now_us;
+		x->polled = false;
 		break;
 	default:
 		break;
 	}
 	if (status != PH_CALL_OLD_RUN && status != PH_CALL_LATE)
 		ph_executor_failed(
-			x, status == PH_CALL_UNSENT ? &x->lost : &x->own,
+			x, status == PH_CALL_UNSENT ? &x->unanswered : &x->faults,
 			now_us);
 	ph_event(PART,
 		 "event=start_refused job=%s task=%u run=%llu executor=%s "
 		 "status=%d",
 		 run->job, run->index, (unsigned long long)run->run, x->info.id,
 		 (int)status);
-	ph_run_lost(pool, x, run);
+	ph_run_drop_requeue(pool, x, run);
 }
 
 /* Takes a call that has ended; finds what it was for, false if that is gone. */
@@ -342,7 +342,7 @@
 
 	if (!c)
 		return false;
-	learn_answer(pool, status, now_us - c->sent_us);
+	record_call(pool, status, now_us - c->sent_us);
 	*x = ph_executor_find(pool, c->executor);
 	*run = *x ? ph_run_find(*x, c->job, c->index, c->run) : NULL;
 	pool->mem->free(c);
@@ -360,20 +360,20 @@
 		return;
 	switch (reply->status) {
 	case PH_CALL_OK:
-		if (run->state == PH_RUN_ORDERED) {
+		if (run->state == PH_RUN_STARTING) {
 			run->state = PH_RUN_RUNNING;
 			run->acked_us = now_us;
 		}
 		return;
 	case PH_CALL_UNKNOWN:
 		/* It may still start: the stop makes sure that it doesn't. */
-		ph_executor_failed(x, &x->lost, now_us);
+		ph_executor_failed(x, &x->unanswered, now_us);
 		ph_event(PART,
 			 "event=start_unanswered job=%s task=%u run=%llu "
 			 "executor=%s",
 			 run->job, run->index, (unsigned long long)run->run,
 			 x->info.id);
-		if (run->state == PH_RUN_ORDERED)
+		if (run->state == PH_RUN_STARTING)
 			ph_run_stop(pool, x, run, now_us);
 		return;
 	default:
@@ -393,7 +393,7 @@
 	run->stop_pending = false;
 	if (reply->status == PH_CALL_OK) {
 		run->acked_us = now_us;
-		x->look_again_us = now_us;
+		x->next_poll_us = now_us;
 	} else if (reply->status == PH_CALL_FENCED) {
 		ph_pool_fenced_by(pool, x);
 	}
@@ -402,21 +402,21 @@
 /* ## Time */
 
 /* Everything on an executor that can't be renewed ends with its lease. */
-static void lapse_runs(struct ph_pool *pool, struct ph_executor *x,
+static void expire_runs(struct ph_pool *pool, struct ph_executor *x,
 		       uint64_t now_us)
 {
-	if (!x->runs || !x->look_failures || now_us < lapse_us(x))
+	if (!x->runs || !x->poll_failures || now_us < lease_expiry_us(x))
 		return;
-	ph_event(PART, "event=lease_lapsed executor=%s", x->info.id);
+	ph_event(PART, "event=lease_expired executor=%s", x->info.id);
 	while (x->runs) {
 		pool->counters.expired_runs++;
-		ph_run_lost(pool, x, x->runs);
+		ph_run_drop_requeue(pool, x, x->runs);
 	}
 }
 
 /* Its stop was acknowledged so long ago that it runs no more, and it starts no
  * more if it never came: no look is needed to tell. */
-static bool surely_stopped(const struct ph_pool *pool, const struct ph_run *run,
+static bool stop_completed(const struct ph_pool *pool, const struct ph_run *run,
 			   uint64_t now_us)
 {
 	return run->state == PH_RUN_STOPPING && run->acked_us &&
@@ -432,14 +432,14 @@
 		struct ph_run *next = run->next;
 
 		if (run->state == PH_RUN_ORPHANED &&
-		    now_us > run->ordered_us + ADOPT_US) {
+		    now_us > run->created_us + CLAIM_US) {
 			pool->counters.orphans_stopped++;
 			ph_run_stop(pool, x, run, now_us);
 		} else if (run->state == PH_RUN_STOPPING && !run->acked_us &&
 			   !run->stop_pending) {
 			ph_run_stop(pool, x, run, now_us);
-		} else if (surely_stopped(pool, run, now_us)) {
-			ph_run_lost(pool, x, run);
+		} else if (stop_completed(pool, run, now_us)) {
+			ph_run_drop_requeue(pool, x, run);
 		}
 		run = next;
 	}
@@ -450,8 +450,8 @@
 	struct ph_executor *x;
 
 	for (x = pool->executors; x; x = x->next) {
-		lapse_runs(pool, x, now_us);
-		if (!x->look_call && now_us >= x->look_again_us)
+		expire_runs(pool, x, now_us);
+		if (!x->poll_call && now_us >= x->next_poll_us)
 			ph_poll_send(pool, x, now_us);
 		runs_tick(pool, x, now_us);
 	}
--- a/src/pool_placement.c
+++ b/src/pool_placement.c
@@ -3,27 +3,27 @@
 #include "log.h"
 #include "pool_impl.h"
 
-#define PART "place"
+#define PART "placement"
 
 /* Response time that is lost outside the pool: the way from and to the
  * caller and the processing on it. */
-#define AIM_MARGIN_US 12000U
+#define TARGET_MARGIN_US 12000U
 /* An executor whose looks fail longer than this gets no new work; a look
  * takes at most a quarter of the lease. */
 #define SILENT_DIVISOR 2U
 /* An owner that hears nothing of a batch's instance, or is fenced, lets go of
  * the batch within this time of the instance's doing so. */
-#define GIVE_UP_US 300000U
+#define SUBMITTER_LOSS_US 300000U
 #define PERCENT 100U
 /* If more than this share of the executors that answer looks have left an order
  * unanswered, calls get lost by the way: none is avoided for that. */
-#define BLAME_PERCENT 30U
-#define PACE_MIN_PERCENT 30U
+#define WIDESPREAD_LOSS_PERCENT 30U
+#define RUN_TIME_MIN_PERCENT 30U
 
 uint64_t ph_batch_latest_start(const struct ph_batch *batch)
 {
-	uint64_t aim = batch->arrived_us + batch->work->target_us;
-	uint64_t need = batch->work->estimate_us + AIM_MARGIN_US;
+	uint64_t aim = batch->arrived_us + batch->request->target_us;
+	uint64_t need = batch->request->estimate_us + TARGET_MARGIN_US;
 
 	return aim > need ? aim - need : 0;
 }
@@ -32,7 +32,7 @@
 
 enum lateness {
 	/** Begun: what ran of it is lost if the rest can't follow. */
-	BEGUN,
+	STARTED,
 	/** Can meet its aim. */
 	IN_TIME,
 	/** Can't; what can't be of use any more is given up before. */
@@ -42,7 +42,7 @@
 static enum lateness lateness(const struct ph_batch *b, uint64_t now_us)
 {
 	if (b->started)
-		return BEGUN;
+		return STARTED;
 	return now_us <= ph_batch_latest_start(b) ? IN_TIME : LATE;
 }
 
@@ -56,25 +56,25 @@
 		return late_a < late_b;
 	if (late_a != LATE)
 		return ph_batch_latest_start(a) < ph_batch_latest_start(b);
-	if (a->work->priority != b->work->priority)
-		return a->work->priority < b->work->priority;
+	if (a->request->priority != b->request->priority)
+		return a->request->priority < b->request->priority;
 	return a->arrived_us < b->arrived_us;
 }
 
-const struct ph_order_policy ph_order_slack = { "slack", slack_before };
+const struct ph_scheduling_policy ph_scheduling_slack = { "slack", slack_before };
 
 static bool fifo_before(const struct ph_batch *a, const struct ph_batch *b,
 			uint64_t now_us)
 {
 	(void)now_us;
-	return a->taken_us < b->taken_us;
+	return a->received_us < b->received_us;
 }
 
-const struct ph_order_policy ph_order_fifo = { "fifo", fifo_before };
+const struct ph_scheduling_policy ph_scheduling_fifo = { "fifo", fifo_before };
 
-const struct ph_order_policy *const ph_order_policies[] = {
-	&ph_order_slack,
-	&ph_order_fifo,
+const struct ph_scheduling_policy *const ph_scheduling_policies[] = {
+	&ph_scheduling_slack,
+	&ph_scheduling_fifo,
 	NULL,
 };
 
@@ -84,39 +84,40 @@
 static bool reachable(const struct ph_pool *pool, const struct ph_executor *x,
 		      uint64_t now_us)
 {
-	return x->listed && x->known && !x->info.draining &&
-	       !x->look_failures &&
-	       now_us < x->look_ok_us + pool->opt.lease_us / SILENT_DIVISOR;
+	return x->listed && x->polled && !x->info.draining &&
+	       !x->poll_failures &&
+	       now_us < x->poll_ok_us + pool->opt.lease_us / SILENT_DIVISOR;
 }
 
 bool ph_executor_usable(const struct ph_pool *pool, const struct ph_executor *x,
 			uint64_t now_us)
 {
-	return reachable(pool, x, now_us) && now_us >= x->own.avoid_us &&
-	       (now_us >= x->lost.avoid_us || pool->blameless);
+	return reachable(pool, x, now_us) && now_us >= x->faults.until_us &&
+	       (now_us >= x->unanswered.until_us || pool->widespread_loss);
 }
 
 /* Decides whether executors are to blame for orders without an answer. */
-static void judge_lost(struct ph_pool *pool, uint64_t now_us)
+static void update_widespread_loss(struct ph_pool *pool, uint64_t now_us)
 {
 	const struct ph_executor *x;
 	uint32_t all = 0;
 	uint32_t losing = 0;
-	bool blameless;
+	bool widespread_loss;
 
 	for (x = pool->executors; x; x = x->next) {
 		if (!reachable(pool, x, now_us))
 			continue;
 		all++;
-		losing += x->lost.count > 0;
+		losing += x->unanswered.count > 0;
 	}
-	blameless = losing * PERCENT > all * BLAME_PERCENT;
-	if (blameless != pool->blameless)
+	widespread_loss = losing * PERCENT > all * WIDESPREAD_LOSS_PERCENT;
+	if (widespread_loss != pool->widespread_loss)
 		ph_event(PART,
-			 "event=executors_%s pool=%s losing=%u reachable=%u",
-			 blameless ? "blameless" : "to_blame", pool->opt.domain,
+			 "event=call_loss_%s pool=%s executors_with_loss=%u "
+			 "executors_reachable=%u",
+			 widespread_loss ? "widespread" : "local", pool->opt.domain,
 			 losing, all);
-	pool->blameless = blameless;
+	pool->widespread_loss = widespread_loss;
 }
 
 static bool label_ok(const struct ph_executor *x, const char *label)
@@ -136,7 +137,7 @@
 static uint32_t failures(const struct ph_pool *pool,
 			 const struct ph_executor *x)
 {
-	return x->own.count + (pool->blameless ? 0 : x->lost.count);
+	return x->faults.count + (pool->widespread_loss ? 0 : x->unanswered.count);
 }
 
 /* Smaller is better: sound ones first, then the tightest fit, then speed. */
@@ -145,8 +146,8 @@
 {
 	uint64_t left = x->info.capacity.cpu_milli - x->used.cpu_milli -
 			need->cpu_milli;
-	uint64_t pace = x->pace_percent < PACE_MIN_PERCENT ? PACE_MIN_PERCENT
-							   : x->pace_percent;
+	uint64_t pace = x->run_time_percent < RUN_TIME_MIN_PERCENT ? RUN_TIME_MIN_PERCENT
+							   : x->run_time_percent;
 
 	return ((uint64_t)failures(pool, x) << 48) + left * pace / PERCENT;
 }
@@ -154,7 +155,7 @@
 static struct ph_executor *pick(struct ph_pool *pool,
 				const struct ph_batch *batch, uint64_t now_us)
 {
-	const struct ph_batch_request *w = batch->work;
+	const struct ph_batch_request *w = batch->request;
 	struct ph_executor *best = NULL;
 	struct ph_executor *x;
 
@@ -177,43 +178,43 @@
 /* When everything that an earlier owner left of a batch has surely lapsed. An
  * owner that is cut off renews until it is fenced by another executor or gives
  * the batch up, about when the batch comes here. */
-static uint64_t lapsed_us(const struct ph_pool *pool, const struct ph_batch *b)
+static uint64_t orphans_expired_us(const struct ph_pool *pool, const struct ph_batch *b)
 {
-	return b->taken_us + GIVE_UP_US + pool->opt.lease_us +
+	return b->received_us + SUBMITTER_LOSS_US + pool->opt.lease_us +
 	       pool->opt.lease_us / 10;
 }
 
-static bool all_known(const struct ph_pool *pool)
+static bool all_polled(const struct ph_pool *pool)
 {
 	const struct ph_executor *x;
 
 	for (x = pool->executors; x; x = x->next)
-		if (!x->known)
+		if (!x->polled)
 			return false;
 	return true;
 }
 
-static bool where_known(const struct ph_pool *pool, uint32_t where)
+static bool executor_polled(const struct ph_pool *pool, uint32_t where)
 {
 	const struct ph_executor *x;
 
 	for (x = pool->executors; x; x = x->next)
-		if (x->known && ph_where(x->info.id) == where)
+		if (x->polled && ph_executor_hash(x->info.id) == where)
 			return true;
 	return false;
 }
 
 /* A resumed task starts again only if its run would have been seen here. */
-static bool surely_gone(const struct ph_pool *pool, const struct ph_batch *b,
+static bool earlier_run_gone(const struct ph_pool *pool, const struct ph_batch *b,
 			uint32_t index, uint64_t now_us)
 {
-	uint32_t where = b->work->where[index];
+	uint32_t where = b->request->where[index];
 
-	if (!b->work->resumed || where == PH_WHERE_NOWHERE ||
-	    now_us >= lapsed_us(pool, b))
+	if (!b->request->resumed || where == PH_EXECUTOR_NONE ||
+	    now_us >= orphans_expired_us(pool, b))
 		return true;
-	return where == PH_WHERE_UNKNOWN ? all_known(pool)
-					 : where_known(pool, where);
+	return where == PH_EXECUTOR_UNKNOWN ? all_polled(pool)
+					 : executor_polled(pool, where);
 }
 
 /* A run of the task that is left from an earlier submission. */
@@ -236,12 +237,12 @@
 {
 	uint32_t i;
 
-	for (i = 0; i < b->work->count && b->waiting; i++) {
+	for (i = 0; i < b->request->count && b->waiting; i++) {
 		struct ph_executor *x;
 
-		if (b->tasks[i].state != PH_SLOT_WAITING ||
-		    !surely_gone(pool, b, i, now_us) ||
-		    still_running(pool, b->work->job, i))
+		if (b->tasks[i].state != PH_BATCH_TASK_WAITING ||
+		    !earlier_run_gone(pool, b, i, now_us) ||
+		    still_running(pool, b->request->job, i))
 			continue;
 		x = pick(pool, b, now_us);
 		if (!x)
@@ -252,12 +253,12 @@
 
 static struct ph_batch *next_batch(struct ph_pool *pool, uint64_t now_us)
 {
-	const struct ph_order_policy *policy = pool->opt.policy;
+	const struct ph_scheduling_policy *policy = pool->opt.policy;
 	struct ph_batch *best = NULL;
 	struct ph_batch *b;
 
 	for (b = pool->batches; b; b = b->next) {
-		if (b->passed || !b->waiting)
+		if (b->visited || !b->waiting)
 			continue;
 		if (!best || policy->before(b, best, now_us))
 			best = b;
@@ -280,19 +281,19 @@
 
 /* Core time of what waits, was looked at before, and needs the executors that
  * a batch needs: other work need not hold it up. */
-static uint64_t work_ahead(const struct ph_pool *pool,
+static uint64_t core_time_ahead(const struct ph_pool *pool,
 			   const struct ph_batch *batch)
 {
-	const struct ph_batch_request *w = batch->work;
+	const struct ph_batch_request *w = batch->request;
 	const struct ph_batch *b;
 	uint64_t sum = 0;
 
 	for (b = pool->batches; b; b = b->next)
-		if (b != batch && b->passed &&
-		    !strcmp(b->work->service, w->service) &&
-		    !strcmp(b->work->label, w->label))
-			sum += (uint64_t)b->waiting * b->work->need.cpu_milli *
-			       b->work->estimate_us;
+		if (b != batch && b->visited &&
+		    !strcmp(b->request->service, w->service) &&
+		    !strcmp(b->request->label, w->label))
+			sum += (uint64_t)b->waiting * b->request->need.cpu_milli *
+			       b->request->estimate_us;
 	return sum;
 }
 
@@ -303,16 +304,16 @@
 	/* A token that was refused somewhere may be another owner's by now. */
 	if (pool->fenced)
 		return;
-	judge_lost(pool, now_us);
+	update_widespread_loss(pool, now_us);
 	for (b = pool->batches; b; b = b->next)
-		b->passed = false;
+		b->visited = false;
 	while ((b = next_batch(pool, now_us))) {
-		b->passed = true;
+		b->visited = true;
 		place_batch(pool, b, now_us);
-		b->ahead_milli_us = b->waiting ? work_ahead(pool, b) : 0;
+		b->ahead_milli_us = b->waiting ? core_time_ahead(pool, b) : 0;
 		b->usable_milli =
 			b->ahead_milli_us
-				? usable_milli(pool, b->work->service, now_us)
+				? usable_milli(pool, b->request->service, now_us)
 				: 0;
 	}
 	pool->dirty = false;
--- a/src/pool_poll.c
+++ b/src/pool_poll.c
@@ -5,22 +5,22 @@
 #include "log.h"
 #include "pool_impl.h"
 
-#define PART "look"
+#define PART "poll"
 
 /* A long poll ends well before the lease that it renewed, so that a lost one
  * can be repeated in time. */
-#define LOOK_WAIT_DIVISOR 4U
+#define POLL_WAIT_DIVISOR 4U
 /* Where looks get lost a long one hides for long what has ended. */
-#define LOOK_WAIT_LOST_DIVISOR 8U
+#define SHORT_POLL_WAIT_DIVISOR 8U
 /* From this share on; a calm link loses none. */
-#define LOST_PERMILLE 30U
+#define SHORT_POLL_LOST_PERMILLE 30U
 /* Weight of one look in the smoothed share. */
-#define LOST_WEIGHT 32U
+#define POLL_WEIGHT 32U
 /* First retry of a look that failed; doubles up to the longest. */
-#define LOOK_RETRY_US 50000U
-#define LOOK_RETRY_MAX_US 400000U
+#define POLL_RETRY_US 50000U
+#define POLL_RETRY_MAX_US 400000U
 /* Room that an unclaimed run of unknown size is taken to use. */
-#define STRAY_CPU_MILLI 1000U
+#define ORPHANED_CPU_MILLI 1000U
 /* A run that takes this many times its declared time, and longer than a look's
  * way, is slow: declared times are off by half, executors by a third. */
 #define SLOW_FACTOR 3U
@@ -29,7 +29,7 @@
 #define MOVES_MAX 1U
 /* Leases, at most, that an executor grants to an order which names none that it
  * can make sense of. */
-#define REBORN_LEASES 2U
+#define RESTARTED_LEASES 2U
 #define PERCENT 100U
 #define PERMILLE 1000U
 
@@ -39,106 +39,106 @@
 {
 	struct ph_poll poll = { 0 };
 
-	x->look_call = ++pool->last_call;
-	x->look_sent_us = now_us;
-	poll.call_id = x->look_call;
+	x->poll_call = ++pool->last_call;
+	x->poll_sent_us = now_us;
+	poll.call_id = x->poll_call;
 	poll.executor = x->info.id;
 	poll.addr = x->info.addr;
 	poll.token = pool->token;
 	poll.ends_seen = x->ends_seen;
-	poll.timeout_us = x->look_failures && !pool->short_looks
-				  ? PH_ANSWER_MAX_US
+	poll.timeout_us = x->poll_failures && !pool->short_polls
+				  ? PH_CALL_TIMEOUT_MAX_US
 				  : ph_pool_timeout_us(pool);
-	if (x->known && !x->look_failures) {
+	if (x->polled && !x->poll_failures) {
 		poll.lease_until_ms = ph_lease_end(pool, x, now_us);
 		poll.wait_us = pool->opt.lease_us /
-			       (pool->short_looks ? LOOK_WAIT_LOST_DIVISOR
-						  : LOOK_WAIT_DIVISOR);
+			       (pool->short_polls ? SHORT_POLL_WAIT_DIVISOR
+						  : POLL_WAIT_DIVISOR);
 	}
 	pool->counters.looks++;
 	pool->opt.sink->poll(pool->opt.ctx, &poll);
 }
 
-static void learn_lost(struct ph_pool *pool, bool lost)
+static void record_poll(struct ph_pool *pool, bool lost)
 {
-	bool before = pool->short_looks;
+	bool before = pool->short_polls;
 
-	pool->lost_permille = ((LOST_WEIGHT - 1) * pool->lost_permille +
+	pool->lost_polls_permille = ((POLL_WEIGHT - 1) * pool->lost_polls_permille +
 			       (lost ? PERMILLE : 0)) /
-			      LOST_WEIGHT;
-	pool->short_looks = pool->lost_permille > LOST_PERMILLE;
-	if (pool->short_looks != before)
-		ph_event(PART, "event=looks_%s pool=%s lost_permille=%u",
+			      POLL_WEIGHT;
+	pool->short_polls = pool->lost_polls_permille > SHORT_POLL_LOST_PERMILLE;
+	if (pool->short_polls != before)
+		ph_event(PART, "event=polls_%s pool=%s lost_polls_permille=%u",
 			 before ? "long" : "short", pool->opt.domain,
-			 pool->lost_permille);
+			 pool->lost_polls_permille);
 }
 
-static void look_failed(struct ph_pool *pool, struct ph_executor *x,
+static void poll_failed(struct ph_pool *pool, struct ph_executor *x,
 			const struct ph_poll_reply *reply, uint64_t now_us)
 {
 	uint64_t wait_us = 0;
 
 	/* The first one may just be lost: it is repeated at once. */
-	if (x->look_failures)
-		wait_us = (uint64_t)LOOK_RETRY_US
-			  << (x->look_failures < 4 ? x->look_failures - 1 : 3);
+	if (x->poll_failures)
+		wait_us = (uint64_t)POLL_RETRY_US
+			  << (x->poll_failures < 4 ? x->poll_failures - 1 : 3);
 	if (reply->status == PH_CALL_FENCED)
 		ph_pool_fenced_by(pool, x);
-	if (!x->look_failures)
+	if (!x->poll_failures)
 		ph_event(PART,
 			 "event=executor_unreachable executor=%s status=%d",
 			 x->info.id, (int)reply->status);
-	x->look_failures++;
-	x->look_again_us =
+	x->poll_failures++;
+	x->next_poll_us =
 		now_us +
-		(wait_us > LOOK_RETRY_MAX_US ? LOOK_RETRY_MAX_US : wait_us);
+		(wait_us > POLL_RETRY_MAX_US ? POLL_RETRY_MAX_US : wait_us);
 }
 
 /* What ran in the life before is gone, as the rest of the look shows. An order
  * that was under way may have reached the new life, which shortens a lease that
  * was reckoned by the clock of the old one. */
-static void reborn(struct ph_pool *pool, struct ph_executor *x,
+static void executor_restarted(struct ph_pool *pool, struct ph_executor *x,
 		   const struct ph_poll_reply *reply)
 {
-	ph_event(PART, "event=executor_reborn executor=%s born_ms=%llu",
+	ph_event(PART, "event=executor_restarted executor=%s started_ms=%llu",
 		 x->info.id, (unsigned long long)reply->started_ms);
 	x->ends_seen = 0;
 	x->lease_ms = reply->clock_ms +
-		      REBORN_LEASES * pool->opt.lease_us / PH_US_PER_MS;
-	memset(&x->own, 0, sizeof(x->own));
-	memset(&x->lost, 0, sizeof(x->lost));
+		      RESTARTED_LEASES * pool->opt.lease_us / PH_US_PER_MS;
+	memset(&x->faults, 0, sizeof(x->faults));
+	memset(&x->unanswered, 0, sizeof(x->unanswered));
 }
 
-static void remember_stray_end(struct ph_pool *pool,
+static void remember_orphaned_end(struct ph_pool *pool,
 			       const struct ph_run_report *seen,
 			       uint64_t now_us)
 {
 	struct ph_orphaned_end *s =
-		&pool->strays[pool->stray_next++ % PH_ORPHANED_ENDS];
+		&pool->orphaned_ends[pool->orphaned_end_next++ % PH_ORPHANED_ENDS];
 
 	ph_strcopy(s->job, sizeof(s->job), seen->job);
 	s->index = seen->index;
 	s->seen_us = now_us;
 }
 
-static void learn_pace(struct ph_executor *x, const struct ph_run *run,
+static void record_run_time(struct ph_executor *x, const struct ph_run *run,
 		       uint64_t now_us)
 {
-	uint64_t estimate = run->batch->work->estimate_us;
+	uint64_t estimate = run->batch->request->estimate_us;
 	uint64_t percent;
 
 	if (!estimate)
 		return;
-	percent = (now_us - run->ordered_us) * 100 / estimate;
+	percent = (now_us - run->created_us) * 100 / estimate;
 	if (percent > 1000)
 		percent = 1000;
-	x->pace_percent = (uint32_t)((7 * x->pace_percent + percent) / 8);
+	x->run_time_percent = (uint32_t)((7 * x->run_time_percent + percent) / 8);
 }
 
 static bool slow(const struct ph_run *run, uint64_t run_us)
 {
 	return run_us >
-	       SLOW_FACTOR * run->batch->work->estimate_us + SLOW_EXTRA_US;
+	       SLOW_FACTOR * run->batch->request->estimate_us + SLOW_EXTRA_US;
 }
 
 /* Takes a run that stands still, or crawls, from its executor while it can
@@ -146,8 +146,8 @@
 static void check_progress(struct ph_pool *pool, struct ph_executor *x,
 			   struct ph_run *run, uint64_t now_us)
 {
-	uint64_t so_far_us = now_us - run->ordered_us;
-	struct ph_slot *slot;
+	uint64_t so_far_us = now_us - run->created_us;
+	struct ph_batch_task *slot;
 
 	if (!run->batch || run->state != PH_RUN_RUNNING ||
 	    !slow(run, so_far_us))
@@ -157,13 +157,13 @@
 		return;
 	slot = &run->batch->tasks[run->index];
 	if (slot->moves >= MOVES_MAX ||
-	    now_us + run->batch->work->estimate_us >
+	    now_us + run->batch->request->estimate_us >
 		    run->batch->arrived_us +
-			    run->batch->work->caller_timeout_us)
+			    run->batch->request->caller_timeout_us)
 		return;
 	slot->moves++;
 	pool->counters.moved_runs++;
-	ph_executor_failed(x, &x->own, now_us);
+	ph_executor_failed(x, &x->faults, now_us);
 	ph_event(PART,
 		 "event=run_slow job=%s task=%u run=%llu executor=%s "
 		 "percent=%u so_far_us=%llu",
@@ -180,19 +180,19 @@
 
 	if (!run || run->state == PH_RUN_ORPHANED) {
 		if (seen->end == PH_END_DONE)
-			remember_stray_end(pool, seen, now_us);
+			remember_orphaned_end(pool, seen, now_us);
 		if (run)
 			ph_run_drop(pool, x, run);
 		return;
 	}
 	switch (seen->end) {
 	case PH_END_DONE:
-		if (batch && !x->blind)
-			learn_pace(x, run, now_us);
-		if (batch && !x->blind && slow(run, now_us - run->ordered_us))
-			ph_executor_failed(x, &x->own, now_us);
+		if (batch && !x->ends_delayed)
+			record_run_time(x, run, now_us);
+		if (batch && !x->ends_delayed && slow(run, now_us - run->created_us))
+			ph_executor_failed(x, &x->faults, now_us);
 		else
-			ph_executor_worked(x);
+			ph_executor_succeeded(x);
 		ph_run_drop(pool, x, run);
 		if (batch)
 			ph_batch_task_done(pool, batch, seen->index, now_us);
@@ -204,14 +204,14 @@
 			 seen->job, seen->index, (unsigned long long)seen->run,
 			 x->info.id);
 		ph_run_drop(pool, x, run);
-		ph_executor_failed(x, &x->own, now_us);
+		ph_executor_failed(x, &x->faults, now_us);
 		if (batch)
 			ph_batch_task_failed(pool, batch, seen->index, now_us);
 		break;
 	default:
 		if (seen->end == PH_END_LEASE_EXPIRED)
 			pool->counters.expired_runs++;
-		ph_run_lost(pool, x, run);
+		ph_run_drop_requeue(pool, x, run);
 		break;
 	}
 }
@@ -224,12 +224,12 @@
 
 	if (!run) {
 		need.cpu_milli =
-			seen->cpu_milli ? seen->cpu_milli : STRAY_CPU_MILLI;
+			seen->cpu_milli ? seen->cpu_milli : ORPHANED_CPU_MILLI;
 		run = ph_run_add(pool, x, seen->job, seen->index, seen->run,
 				 &need, now_us);
 		run->state = PH_RUN_ORPHANED;
 	}
-	if (run->state == PH_RUN_ORDERED) {
+	if (run->state == PH_RUN_STARTING) {
 		run->state = PH_RUN_RUNNING;
 		run->acked_us = now_us;
 	}
@@ -261,9 +261,9 @@
 		bool stray = run->state == PH_RUN_ORPHANED;
 
 		if ((stray ||
-		     (run->acked_us && run->acked_us < x->look_sent_us)) &&
+		     (run->acked_us && run->acked_us < x->poll_sent_us)) &&
 		    !listed_in(run, reply->running, reply->running_count))
-			ph_run_lost(pool, x, run);
+			ph_run_drop_requeue(pool, x, run);
 		run = next;
 	}
 }
@@ -275,30 +275,30 @@
 	size_t i;
 
 	for (x = pool->executors; x; x = x->next)
-		if (x->look_call == call_id)
+		if (x->poll_call == call_id)
 			break;
 	if (!x || !pool->owned)
 		return;
-	x->look_call = 0;
-	learn_lost(pool, reply->status == PH_CALL_UNKNOWN);
+	x->poll_call = 0;
+	record_poll(pool, reply->status == PH_CALL_UNKNOWN);
 	if (reply->status != PH_CALL_OK) {
-		look_failed(pool, x, reply, now_us);
+		poll_failed(pool, x, reply, now_us);
 		return;
 	}
-	if (x->look_failures)
-		ph_event(PART, "event=executor_reached executor=%s failures=%u",
-			 x->info.id, x->look_failures);
-	x->blind = x->look_failures;
-	x->look_failures = 0;
+	if (x->poll_failures)
+		ph_event(PART, "event=executor_reachable executor=%s failures=%u",
+			 x->info.id, x->poll_failures);
+	x->ends_delayed = x->poll_failures;
+	x->poll_failures = 0;
 	if (reply->started_ms && reply->started_ms != x->started_ms) {
 		if (x->started_ms)
-			reborn(pool, x, reply);
+			executor_restarted(pool, x, reply);
 		x->started_ms = reply->started_ms;
 	}
 	x->clock_ms = reply->clock_ms;
 	x->clock_us = now_us;
-	x->look_ok_us = now_us;
-	x->known = true;
+	x->poll_ok_us = now_us;
+	x->polled = true;
 	for (i = 0; i < reply->ended_count; i++) {
 		if (reply->ended[i].end_number <= x->ends_seen)
 			continue;
--- a/src/pool_shard.c
+++ b/src/pool_shard.c
@@ -5,9 +5,11 @@
 #include "ident.h"
 #include "pool_shard.h"
 
-/* Executors of a shard: their starts and looks fit into a tenth of a core,
- * and a job of the widest kind finds room in one of them. */
+/* Executors per shard: their starts and polls take at most a tenth of the
+ * owner's core, and the jobs with the most tasks still fit into one shard. */
 #define SHARD_EXECUTORS 32U
+/* The domain is split anew only if its shards have more executors than this on
+ * average. */
 #define SHARD_EXECUTORS_MAX 48U
 
 uint32_t ph_pool_shard_count(uint32_t before, uint32_t executors)
--- a/src/pool_shard.h
+++ b/src/pool_shard.h
@@ -2,9 +2,9 @@
 #define PH_POOL_SHARD_H
 
 /*
- * Pools of a large failure domain: its executors are split over shards, each
- * of which is a pool with an owner of its own. Shard 0 is named like the
- * domain, shard k "domain#k".
+ * Shards of a large failure domain: each shard is a pool of part of the
+ * domain's executors, with an owner of its own. Shard 0 has the name of the
+ * domain, shard k is named "domain#k".
  */
 
 #include <stdbool.h>
@@ -12,23 +12,25 @@
 #include "peridothall.h"
 
 /**
- * Number of shards for a domain of so many executors that had some before.
- * It never falls, for instances that disagree on it would work on the same
- * executors.
+ * Number of shards for a domain with this many executors that had "before"
+ * shards so far (0: none yet). The number never falls: instances that disagree
+ * on it would start tasks on the same executors.
  */
 uint32_t ph_pool_shard_count(uint32_t before, uint32_t executors);
 
-/** Shard of an executor; one more shard moves only what goes to it. */
+/** Shard of an executor, by rendezvous hashing: adding a shard moves only the
+ * executors that the new shard gets. */
 uint32_t ph_pool_shard_of(const char *executor, uint32_t shards);
 
-/** Name of a shard's pool. */
+/** Writes the name of a shard's pool. With a shard number, only the first 24
+ * bytes of the domain's name are part of it. */
 void ph_pool_shard_name(const char *domain, uint32_t shard,
 			char name[PH_NAME_BYTES]);
 
-/** Tells whether a pool lies in a failure domain. */
+/** True if the pool is a shard of the failure domain. */
 bool ph_pool_shard_in(const char *pool, const char *domain);
 
-/** Number of the shard in a pool's name. */
+/** Shard number in a pool's name; 0 if it has none. */
 uint32_t ph_pool_shard_number(const char *pool);
 
 #endif
--- a/src/pool_types.c
+++ b/src/pool_types.c
@@ -1,11 +1,12 @@
 #include "ident.h"
 #include "pool_types.h"
 
-uint32_t ph_where(const char *executor)
+uint32_t ph_executor_hash(const char *executor)
 {
 	uint32_t hash = (uint32_t)ph_hash_str(executor);
 
-	return hash == PH_WHERE_NOWHERE || hash == PH_WHERE_UNKNOWN ? 1 : hash;
+	return hash == PH_EXECUTOR_NONE || hash == PH_EXECUTOR_UNKNOWN ? 1
+								       : hash;
 }
 
 bool ph_capacity_fits(const struct ph_capacity *total,
@@ -33,39 +34,40 @@
 
 struct ph_batch_request *
 ph_batch_request_copy(const struct ph_mem *mem,
-		      const struct ph_batch_request *work)
+		      const struct ph_batch_request *request)
 {
 	struct ph_batch_request *copy = mem->calloc(1, sizeof(*copy));
 
-	*copy = *work;
-	copy->spec = ph_memdup(mem, work->spec, work->spec_len);
+	*copy = *request;
+	copy->spec = ph_memdup(mem, request->spec, request->spec_len);
 	return copy;
 }
 
 uint64_t
-ph_batch_request_max_useful_wait_us(const struct ph_batch_request *work)
+ph_batch_request_max_useful_wait_us(const struct ph_batch_request *request)
 {
-	uint64_t useful_us = PH_LATE_TARGETS * work->target_us;
+	uint64_t useful_us = PH_LATE_TARGETS * request->target_us;
 
-	if (!work->target_us)
+	if (!request->target_us)
 		return UINT64_MAX;
-	return useful_us > work->estimate_us ? useful_us - work->estimate_us
-					     : 0;
+	return useful_us > request->estimate_us
+		       ? useful_us - request->estimate_us
+		       : 0;
 }
 
-bool ph_batch_request_too_late(const struct ph_batch_request *work,
+bool ph_batch_request_too_late(const struct ph_batch_request *request,
 			       uint64_t waited_us)
 {
-	return waited_us > ph_batch_request_max_useful_wait_us(work);
+	return waited_us > ph_batch_request_max_useful_wait_us(request);
 }
 
 void ph_batch_request_free(const struct ph_mem *mem,
-			   struct ph_batch_request *work)
+			   struct ph_batch_request *request)
 {
-	if (!work)
+	if (!request)
 		return;
-	mem->free(work->spec);
-	mem->free(work);
+	mem->free(request->spec);
+	mem->free(request);
 }
 
 const char *ph_verdict_name(enum ph_verdict verdict)
--- a/src/pool_types.h
+++ b/src/pool_types.h
@@ -2,9 +2,10 @@
 #define PH_POOL_TYPES_H
 
 /*
- * Work as it travels from the caller's entry instance to the owner of a pool
- * of executors: a batch is a job's tasks that one pool runs. Executors run
- * tasks under leases; every run of a task has a number that rises.
+ * Data exchanged between the submitting instance, the owner of a pool of
+ * executors, and the executors. A batch is the tasks of a job that one pool
+ * runs. Executors run tasks under leases; each run of a task has a higher
+ * number than the runs before it.
  */
 
 #include <stdbool.h>
@@ -12,10 +13,10 @@
 #include "buf.h"
 
 #define PH_JOB_BYTES 24U
-#define PH_RACK_BYTES 32U
+#define PH_LABEL_BYTES 32U
 #define PH_TASK_BYTES 64U
 
-/** What a task asks for, or what an executor offers. */
+/** Resources that a task needs or that an executor has. */
 struct ph_capacity {
 	/** Thousandths of a core. */
 	uint32_t cpu_milli;
@@ -23,73 +24,80 @@
 	uint32_t gpu;
 };
 
-/** Tells whether need fits into what is left of total beside used. */
+/** True if need fits into total minus used. */
 bool ph_capacity_fits(const struct ph_capacity *total,
 		      const struct ph_capacity *used,
 		      const struct ph_capacity *need);
 void ph_capacity_add(struct ph_capacity *to, const struct ph_capacity *what);
 void ph_capacity_sub(struct ph_capacity *from, const struct ph_capacity *what);
 
-/** Where an earlier owner of the pool has left a task. */
-#define PH_WHERE_NOWHERE 0U
-#define PH_WHERE_UNKNOWN UINT32_MAX
+/** Special values in place of an executor's hash: the task runs on no executor,
+ * or may run on any. */
+#define PH_EXECUTOR_NONE 0U
+#define PH_EXECUTOR_UNKNOWN UINT32_MAX
 
-/** Short form of an executor's id; neither of the two above. */
-uint32_t ph_where(const char *executor);
+/** Hash of an executor's id; never one of the two values above. */
+uint32_t ph_executor_hash(const char *executor);
 
 /** A job's tasks for one pool. */
 struct ph_batch_request {
 	char job[PH_JOB_BYTES];
 	char service[PH_NAME_BYTES];
-	/** Label that an executor must have, or empty. */
-	char label[PH_RACK_BYTES];
-	/** Passed to the executor as it came. */
+	/** Label that the executor must have; empty: any executor will do. */
+	char label[PH_LABEL_BYTES];
+	/** Passed to the executor unchanged; owned by the request. */
 	char *spec;
 	size_t spec_len;
 	uint32_t count;
 	struct ph_capacity need;
-	/** Declared run time of a task; rough. */
+	/** Declared run time of a task; only a rough estimate. */
 	uint64_t estimate_us;
-	/** Time since the caller's request arrived at its entry instance. */
+	/** Time since the caller's request arrived at the submitter. */
 	uint64_t age_us;
-	/** Response time from the arrival that the caller expects. */
+	/** Latency target: expected response time, counted from the request's
+	 * arrival; 0: none. */
 	uint64_t target_us;
-	/** Response time from the arrival after which nobody listens. */
+	/** The caller's timeout, counted from the request's arrival. */
 	uint64_t caller_timeout_us;
-	/** 0 goes first. */
+	/** 0 is the highest. */
 	uint32_t priority;
+	/** Failed runs of one task after which the batch fails. */
 	uint32_t max_attempts;
-	/** When it was first sent, on the receiving owner's clock; 0: unknown.
-	 */
+	/** When it was first sent, converted to the receiving owner's clock; 0:
+	 * unknown. */
 	uint64_t sent_us;
-	/** Number of a task's first run, above those of earlier submissions. */
+	/** Number of each task's first run; higher than the run numbers of
+	 * earlier submissions. */
 	uint64_t first_run;
-	/** Runs of the job may exist in this pool from an earlier owner. */
+	/** An earlier owner of the pool may have started runs of the job. */
 	bool resumed;
-	/** Tasks that have ended well, a bit each. */
+	/** Bit set of the tasks that have succeeded. */
 	uint8_t done[(PH_MAX_TASKS + 7) / 8];
-	/** If resumed: where each task may be running. */
+	/** If resumed: hash of the executor that may be running each task, or
+	 * one of the special values. */
 	uint32_t where[PH_MAX_TASKS];
 };
 
-/** Aims after which an answer is of no use to its caller; the platform's. */
+/** An answer that takes more than this many latency targets is of no use to
+ * its caller, as the platform defines it. */
 #define PH_LATE_TARGETS 3U
 
-/** Longest wait from the arrival after which a job's end is still of use;
- * UINT64_MAX without an aim. */
+/** Longest wait, from the request's arrival to the start, after which a job
+ * still ends in time to be of use; UINT64_MAX without a latency target. */
 uint64_t
-ph_batch_request_max_useful_wait_us(const struct ph_batch_request *work);
+ph_batch_request_max_useful_wait_us(const struct ph_batch_request *request);
 
-/** True if a job that starts after waiting so long ends too late to be of
- * use; never without an aim. */
-bool ph_batch_request_too_late(const struct ph_batch_request *work,
+/** True if a job that starts after waited_us ends too late to be of use; never
+ * without a latency target. */
+bool ph_batch_request_too_late(const struct ph_batch_request *request,
 			       uint64_t waited_us);
 
+/** Deep copy; the caller frees it with ph_batch_request_free(). */
 struct ph_batch_request *
 ph_batch_request_copy(const struct ph_mem *mem,
-		      const struct ph_batch_request *work);
+		      const struct ph_batch_request *request);
 void ph_batch_request_free(const struct ph_mem *mem,
-			   struct ph_batch_request *work);
+			   struct ph_batch_request *request);
 
 static inline bool ph_bit_get(const uint8_t *bits, uint32_t i)
 {
@@ -102,15 +110,16 @@
 }
 
 enum ph_verdict {
-	/** Every task has ended well. */
+	/** Every task has succeeded. */
 	PH_VERDICT_DONE,
-	/** A task has failed as often as it may. */
+	/** A task has failed max_attempts times. */
 	PH_VERDICT_FAILED,
 	/** No task was ever started. */
 	PH_VERDICT_NOT_RUN,
-	/** Given up after something was started; all of it is stopped. */
+	/** Aborted after a task may have started; its runs are stopped. */
 	PH_VERDICT_BROKEN,
-	/** The pool has another owner: submit the rest there as resumed. */
+	/** The pool has another owner: submit the unfinished tasks there in a
+	 * resumed batch. */
 	PH_VERDICT_MOVED,
 };
 
@@ -119,32 +128,36 @@
 /** Outcome of a batch. */
 struct ph_result {
 	enum ph_verdict verdict;
-	/** With PH_VERDICT_NOT_RUN: when there is likely to be room. */
+	/** With PH_VERDICT_NOT_RUN: time until capacity is likely to be free.
+	 */
 	uint64_t retry_after_us;
-	/** Phrase for the log. */
+	/** Short explanation for the log. */
 	const char *reason;
+	/** Bit set of the tasks that have succeeded. */
 	uint8_t done[(PH_MAX_TASKS + 7) / 8];
-	/** With PH_VERDICT_MOVED: where each of count tasks may run. */
+	/** With PH_VERDICT_MOVED: number of entries in where. */
 	uint32_t count;
+	/** For each task, hash of the executor that may be running it, or one
+	 * of the special values. */
 	uint32_t where[PH_MAX_TASKS];
 };
 
-/** One executor as the platform lists it. */
+/** An executor as listed by the platform. */
 struct ph_executor_info {
 	char id[PH_NAME_BYTES];
 	char addr[PH_ADDR_BYTES];
 	char domain[PH_NAME_BYTES];
 	char service[PH_NAME_BYTES];
-	/** Space-separated, with a space at both ends. */
+	/** Separated by spaces, with a space at both ends. */
 	char labels[PH_ADDR_BYTES];
 	struct ph_capacity capacity;
-	/** It leaves; no new work. */
+	/** It is being drained: no new tasks. */
 	bool draining;
 };
 
 /* ## Calls to executors */
 
-/** Start or stop of one run. */
+/** Start or stop of one run; a stop has no lease and no spec. */
 struct ph_run_command {
 	uint64_t call_id;
 	const char *executor;
@@ -155,40 +168,44 @@
 	uint64_t token;
 	/** On the executor's clock. */
 	uint64_t lease_until_ms;
-	/** Without an answer for this long the end of the call is unknown. */
+	/** Without an answer within this time the call's outcome is unknown. */
 	uint64_t timeout_us;
 	const char *spec;
 	size_t spec_len;
 };
 
-/** Renewal of the lease, note of ends, and a wait for the next. */
+/** Renews the lease, acknowledges ends, and waits for the next end. */
 struct ph_poll {
 	uint64_t call_id;
 	const char *executor;
 	const char *addr;
 	uint64_t token;
+	/** Acknowledges all ends up to this number. */
 	uint64_t ends_seen;
-	/** On the executor's clock; 0 renews nothing. */
+	/** On the executor's clock; 0: doesn't renew the lease. */
 	uint64_t lease_until_ms;
+	/** Longest time for which the executor waits for a new end. */
 	uint64_t wait_us;
-	/** Counted from the end of the wait. */
+	/** Counted from the end of wait_us. */
 	uint64_t timeout_us;
 };
 
 enum ph_call_status {
 	PH_CALL_OK,
-	/** Surely not carried out. */
+	/** The call did not reach the executor. */
 	PH_CALL_UNSENT,
 	PH_CALL_NO_ROOM,
-	/** A run of that number or a higher one was there before. */
+	/** The executor had a run of the task with this or a higher number. */
 	PH_CALL_OLD_RUN,
+	/** The lease had expired when the call arrived. */
 	PH_CALL_LATE,
+	/** The token was lower than one that the executor has seen. */
 	PH_CALL_FENCED,
 	PH_CALL_UNHEALTHY,
-	/** Another life of the executor answered. */
+	/** Another incarnation of the executor answered. */
 	PH_CALL_OTHER_INCARNATION,
 	PH_CALL_INVALID,
-	/** No answer: it may be carried out, even later. */
+	/** No answer: the call may have been carried out, or may be later. */
 	PH_CALL_UNKNOWN,
 };
 
@@ -202,28 +219,31 @@
 	PH_END_DONE,
 	PH_END_FAILED,
 	PH_END_STOPPED,
-	/** Its lease ran out. */
+	/** Its lease expired. */
 	PH_END_LEASE_EXPIRED,
 	PH_END_OTHER,
 };
 
-/** A run as a look reports it. */
+/** A running or ended run, as reported in the answer to a poll. */
 struct ph_run_report {
 	char job[PH_JOB_BYTES];
 	uint32_t index;
 	uint64_t run;
-	/** Of an end: its number and kind. */
+	/** Ended runs only: the end's number, which rises with each end. */
 	uint64_t end_number;
+	/** Ended runs only. */
 	enum ph_end end;
-	/** Of a running one: progress, and what it uses of its cores. */
+	/** Running ones only: progress. */
 	uint32_t percent;
+	/** Running ones only: core usage in thousandths of a core. */
 	uint32_t cpu_milli;
 };
 
 struct ph_poll_reply {
 	enum ph_call_status status;
+	/** The executor's clock. */
 	uint64_t clock_ms;
-	/** Start of this life of the executor. */
+	/** Start time of this incarnation of the executor. */
 	uint64_t started_ms;
 	size_t running_count;
 	const struct ph_run_report *running;
--- a/src/routing.h
+++ b/src/routing.h
@@ -1,29 +1,32 @@
 #ifndef PH_ROUTING_H
 #define PH_ROUTING_H
 
-/* The operators' routes in force on a platform: which queue a request belongs
- * to and what holds for its jobs. Immutable once built. */
+/* The routes that operators have configured on a platform: they map requests
+ * to queues and hold the settings of each queue's jobs. Immutable once built.
+ */
 
 #include "pool_types.h"
 
 #define PH_HOST_BYTES 128U
 #define PH_PREFIX_BYTES 128U
 
-/** A queue of jobs. */
+/** A queue of jobs and the requests that belong to it. */
 struct ph_route {
 	char name[PH_HOST_BYTES];
 	char host[PH_HOST_BYTES];
-	/** Begins with '/'. */
+	/** Prefix of the requests' path; begins with '/'. */
 	char prefix[PH_PREFIX_BYTES];
 	char service[PH_NAME_BYTES];
-	/** 0 goes first. */
+	/** 0 is the highest. */
 	uint32_t priority;
+	/** Failed runs of one task after which its job fails. */
 	uint32_t max_attempts;
-	/** Longest time for one request. */
+	/** Longest time for answering one request. */
 	uint64_t timeout_us;
-	/** A job's aim: so many percent of its longest chain of work ... */
+	/** Part of a job's latency target that is proportional to the declared
+	 * run time of its longest chain of tasks, in percent of it. */
 	uint32_t stretch_percent;
-	/** ... and this much more. */
+	/** Constant part of a job's latency target. */
 	uint64_t target_extra_us;
 };
 
@@ -37,8 +40,9 @@
 void ph_routing_free(struct ph_routing *routing);
 
 /**
- * Finds the route of a request: the host, without regard to a port, and the
- * longest prefix that the path begins with. NULL: there is none.
+ * Finds the route of a request: the host must match (ignoring case and port),
+ * and of the matching prefixes of the path the longest wins. Returns NULL if
+ * there is none.
  */
 const struct ph_route *ph_routing_find(const struct ph_routing *routing,
 				       const char *host, const char *path);
--- a/src/submitter.c
+++ b/src/submitter.c
@@ -535,7 +535,7 @@
 	for (i = 0; i < j->work->count; i++)
 		j->work->where[i] = result && i < result->count
 					    ? result->where[i]
-					    : PH_WHERE_UNKNOWN;
+					    : PH_EXECUTOR_UNKNOWN;
 	j->work->resumed = true;
 }
 
--- a/test/pool_world.cc
+++ b/test/pool_world.cc
@@ -338,7 +338,7 @@
 	return nullptr;
 }
 
-Owner *World::add_owner(const ph_order_policy *policy)
+Owner *World::add_owner(const ph_scheduling_policy *policy)
 {
 	Owner *o = new Owner;
 	ph_pool_options options = {};
@@ -467,7 +467,7 @@
 	w->spec = ph_memdup(ph_mem_default(), "x", 1);
 	w->resumed = true;
 	for (uint32_t i = 0; i < w->count; i++)
-		w->where[i] = PH_WHERE_UNKNOWN;
+		w->where[i] = PH_EXECUTOR_UNKNOWN;
 	if (from->results.count(seq)) {
 		memcpy(w->done, from->results[seq].done, sizeof(w->done));
 		memcpy(w->where, from->results[seq].where, sizeof(w->where));
--- a/test/pool_world.h
+++ b/test/pool_world.h
@@ -92,7 +92,7 @@
 	World(size_t count, uint32_t cpu);
 	~World();
 
-	Owner *add_owner(const ph_order_policy *policy = &ph_order_slack);
+	Owner *add_owner(const ph_scheduling_policy *policy = &ph_scheduling_slack);
 	/** Lists all executors at an owner. */
 	void list(Owner *owner);
 	void at(uint64_t us, std::function<void()> what);
--- a/test/test_pool.cc
+++ b/test/test_pool.cc
@@ -10,7 +10,7 @@
 constexpr uint64_t kAim = 400 * kMs;
 constexpr uint64_t kGiveUp = 2000 * kMs;
 
-Owner *calm_owner(World *w, const ph_order_policy *policy = &ph_order_slack)
+Owner *calm_owner(World *w, const ph_scheduling_policy *policy = &ph_scheduling_slack)
 {
 	Owner *o = w->add_owner(policy);
 
@@ -587,7 +587,7 @@
 
 /* A burst of wide short jobs on top of long ones: over capacity for a while,
  * as when many users come at once. */
-Served play_burst(const ph_order_policy *policy)
+Served play_burst(const ph_scheduling_policy *policy)
 {
 	World w(8, 16000);
 	Owner *o = calm_owner(&w, policy);
@@ -622,8 +622,8 @@
 
 TEST(PoolLoad, ABurstIsServedByLatestSafeStartNotByArrival)
 {
-	Served fifo = play_burst(&ph_order_fifo);
-	Served slack = play_burst(&ph_order_slack);
+	Served fifo = play_burst(&ph_scheduling_fifo);
+	Served slack = play_burst(&ph_scheduling_slack);
 
 	RecordProperty("fifo_in_aim", fifo.in_aim);
 	RecordProperty("slack_in_aim", slack.in_aim);
--- a/test/test_submitter.cc
+++ b/test/test_submitter.cc
@@ -395,7 +395,7 @@
 		ASSERT_GT(f.sent.size(), before);
 		EXPECT_EQ(f.sent.back().to, "n3");
 		EXPECT_TRUE(f.sent.back().resumed);
-		EXPECT_EQ(f.sent.back().where0, told ? 77U : PH_WHERE_UNKNOWN);
+		EXPECT_EQ(f.sent.back().where0, told ? 77U : PH_EXECUTOR_UNKNOWN);
 		f.result(PH_VERDICT_DONE);
 		ASSERT_EQ(f.answers.size(), 1U);
 		EXPECT_EQ(f.answers[0].outcome, PH_JOB_COMPLETED);
@@ -422,7 +422,7 @@
 		f.pass(20 * kMs);
 		ASSERT_EQ(f.sent.size(), 2U);
 		EXPECT_TRUE(f.sent[1].resumed);
-		EXPECT_EQ(f.sent[1].where0, PH_WHERE_UNKNOWN);
+		EXPECT_EQ(f.sent[1].where0, PH_EXECUTOR_UNKNOWN);
 		EXPECT_NE(f.sent[1].seq, f.sent[0].seq);
 	}
 }
