--- a/src/pool.c
+++ b/src/pool.c
@@ -4,26 +4,28 @@
 #include "pool_impl.h"
 
 #define PART "pool"
-/* Shortest and longest time that a refused caller is sent away for. */
+/* Bounds of the retry time that is sent to refused callers. */
 #define RETRY_MIN_US 1000000U
 #define RETRY_MAX_US 8000000U
 #define US_PER_S 1000000U
-/* Part of a caller's patience for which a batch may wait for its first start:
- * under half of it, so that there is time to be served elsewhere. */
+/* Part of the caller's timeout for which a batch may wait for its first start:
+ * less than half, so that another pool still has time to serve the job. */
 #define MAX_WAIT_PERCENT 45U
-/* Part of the declared run times that executors take at least: some are faster
- * than others. */
+/* Lower bound of actual run times in percent of the declared ones: some
+ * executors are faster than others. */
 #define MIN_WAIT_PERCENT 75U
-/* Starts that only time allows are looked for this often. */
+/* Interval of placement rounds without a change of state: a start may become
+ * possible by time alone, as when a back-off ends. */
 #define PLACE_EVERY_US 10000U
-/* An unlisted executor is kept this long: two of the longest leases, and the
- * time between two reads of the list. */
+/* Time for which an unlisted executor is still tracked: two of the longest
+ * leases, plus the time between two reads of the list. */
 #define UNLISTED_US 3000000U
-/* A batch that comes this long after its cancellation is refused for its long
- * way; its front repeats the cancellation until then. */
+/* Time for which a cancellation is remembered. A batch that arrives later is
+ * refused for its time in transit; until then the submitter repeats the
+ * cancellation. */
 #define CANCELLED_US 2000000U
-/* Longest way of a batch: below the time after which its front gives it up and
- * its caller may come again elsewhere. */
+/* Longest time in transit of a batch: less than the time after which its
+ * submitter abandons it and the caller may submit the job elsewhere. */
 #define TRANSIT_MAX_US 350000U
 
 struct ph_pool *ph_pool_new(const struct ph_pool_options *options)
@@ -45,7 +47,8 @@
 	pool->mem->free(b);
 }
 
-/* The list begins with the latest. */
+/* Removes cancellations that are old enough. The list is sorted, latest first.
+ */
 static void forget_cancelled(struct ph_pool *pool, uint64_t now_us)
 {
 	struct ph_cancelled **at = &pool->cancelled;
@@ -108,17 +111,19 @@
 
 /* ## Batches */
 
-/* Where a task may be running; with no better word that of before. */
+/* Hash of the executor that may be running a task; what an earlier owner
+ * reported if there is no run here. */
 static uint32_t task_where(const struct ph_batch *b, uint32_t index)
 {
 	if (b->tasks[index].state == PH_BATCH_TASK_PLACED)
 		return ph_executor_hash(b->tasks[index].run->executor->info.id);
-	return b->request->resumed ? b->request->where[index] : PH_EXECUTOR_NONE;
+	return b->request->resumed ? b->request->where[index]
+				   : PH_EXECUTOR_NONE;
 }
 
 static void batch_report(struct ph_pool *pool, struct ph_batch *b,
-		       enum ph_verdict verdict, uint64_t retry_after_us,
-		       const char *reason, uint64_t now_us)
+			 enum ph_verdict verdict, uint64_t retry_after_us,
+			 const char *reason, uint64_t now_us)
 {
 	struct ph_result result = { .verdict = verdict,
 				    .retry_after_us = retry_after_us,
@@ -132,9 +137,11 @@
 		result.where[result.count++] = task_where(b, i);
 	ph_event(PART,
 		 "event=batch_end job=%s verdict=%s reason=\"%s\" tasks=%u "
-		 "left=%u since_received_us=%llu target_us=%llu estimate_us=%llu",
-		 b->request->job, ph_verdict_name(verdict), reason, b->request->count,
-		 b->left, (unsigned long long)(now_us - b->received_us),
+		 "tasks_left=%u since_received_us=%llu target_us=%llu "
+		 "estimate_us=%llu",
+		 b->request->job, ph_verdict_name(verdict), reason,
+		 b->request->count, b->left,
+		 (unsigned long long)(now_us - b->received_us),
 		 (unsigned long long)b->request->target_us,
 		 (unsigned long long)b->request->estimate_us);
 	pool->opt.sink->result(pool->opt.ctx, b->submitter, b->seq, &result);
@@ -151,7 +158,7 @@
 	pool->dirty = true;
 }
 
-/* Ends a batch: what still runs of it is stopped and no longer its own. */
+/* Stops the batch's runs and frees the batch. */
 static void batch_end(struct ph_pool *pool, struct ph_batch *b, uint64_t now_us)
 {
 	uint32_t i;
@@ -163,7 +170,7 @@
 }
 
 void ph_batch_task_requeue(struct ph_pool *pool, struct ph_batch *b,
-			uint32_t index)
+			   uint32_t index)
 {
 	b->tasks[index].state = PH_BATCH_TASK_WAITING;
 	b->tasks[index].run = NULL;
@@ -228,8 +235,10 @@
 	pool->counters.adopted++;
 }
 
-/* Claims what an earlier owner has started of a batch. */
-static void claim_orphans(struct ph_pool *pool, struct ph_batch *b, uint64_t now_us)
+/* Lets a resumed batch claim the runs that an earlier owner started, and the
+ * ends of such runs. May free the batch. */
+static void claim_orphans(struct ph_pool *pool, struct ph_batch *b,
+			  uint64_t now_us)
 {
 	const char *job = b->request->job;
 	struct ph_executor *x;
@@ -240,7 +249,8 @@
 		for (run = x->runs; run; run = run->next)
 			if (run->state == PH_RUN_ORPHANED &&
 			    run->index < b->request->count &&
-			    b->tasks[run->index].state == PH_BATCH_TASK_WAITING &&
+			    b->tasks[run->index].state ==
+				    PH_BATCH_TASK_WAITING &&
 			    !strcmp(run->job, job))
 				claim_run(pool, b, x, run);
 	for (i = 0; i < PH_ORPHANED_ENDS; i++) {
@@ -274,7 +284,7 @@
 
 /* ## Admission */
 
-static uint64_t backlog(const struct ph_pool *pool)
+static uint64_t backlog_milli_us(const struct ph_pool *pool)
 {
 	const struct ph_batch *b;
 	uint64_t sum = 0;
@@ -292,8 +302,8 @@
 	return us > RETRY_MAX_US ? RETRY_MAX_US : us;
 }
 
-/* When work that is refused now will likely find room. */
-static uint64_t retry_after(const struct ph_pool *pool, uint64_t now_us)
+/* Time after which a batch that is refused now is likely to find capacity. */
+static uint64_t retry_after_us(const struct ph_pool *pool, uint64_t now_us)
 {
 	struct ph_pool_load load;
 
@@ -303,9 +313,9 @@
 	return clamp_retry(load.backlog_milli_us / load.capacity_milli);
 }
 
-/* Latest start of a batch: later its end would be of no use or nobody would be
- * there to hear of it, or it has waited for so long that its caller had better
- * come back or go elsewhere. */
+/* Latest first start of a batch. It is bounded by the time that is left before
+ * its result is of no use, by the caller's timeout less the declared run time,
+ * and by the part of the timeout after which another pool should be tried. */
 static uint64_t last_start_us(const struct ph_batch *b)
 {
 	const struct ph_batch_request *w = b->request;
@@ -321,8 +331,8 @@
 	return b->arrived_us + wait_us;
 }
 
-/* Shortest time until what goes before a batch has been started: all usable
- * executors work on nothing else, and faster than declared. */
+/* Lower bound of the time until the tasks ahead of a batch have been started:
+ * assumes that all usable executors run only these, faster than declared. */
 static uint64_t min_wait_us(const struct ph_batch *b)
 {
 	if (!b->usable_milli)
@@ -330,22 +340,23 @@
 	return b->ahead_milli_us * MIN_WAIT_PERCENT / 100 / b->usable_milli;
 }
 
-static bool start_overdue(const struct ph_batch *b, uint64_t now_us)
+static bool batch_overdue(const struct ph_batch *b, uint64_t now_us)
 {
 	if (b->started)
 		return now_us >= b->arrived_us + b->request->caller_timeout_us;
 	return now_us + min_wait_us(b) >= last_start_us(b);
 }
 
-static void batch_expire(struct ph_pool *pool, struct ph_batch *b, uint64_t now_us)
+static void batch_expire(struct ph_pool *pool, struct ph_batch *b,
+			 uint64_t now_us)
 {
 	if (b->started)
 		batch_report(pool, b, PH_VERDICT_BROKEN, 0,
-			   "caller's deadline passed", now_us);
+			     "caller's deadline passed", now_us);
 	else
 		batch_report(pool, b, PH_VERDICT_NOT_RUN,
-			   retry_after(pool, now_us), "no room in time",
-			   now_us);
+			     retry_after_us(pool, now_us), "no room in time",
+			     now_us);
 	batch_end(pool, b, now_us);
 }
 
@@ -399,9 +410,9 @@
 	return false;
 }
 
-/* Its front has given it up by now, or is about to. */
+/* True if the submitter has abandoned the batch by now, or is about to. */
 static bool delayed_in_transit(const struct ph_batch_request *request,
-			    uint64_t now_us)
+			       uint64_t now_us)
 {
 	return request->sent_us && now_us > request->sent_us + TRANSIT_MAX_US;
 }
@@ -428,15 +439,16 @@
 	}
 	if (!pool->owned) {
 		batch_report(pool, b, PH_VERDICT_MOVED, 0, "not the owner",
-			   now_us);
+			     now_us);
 		batch_remove(pool, b);
 		return;
 	}
 	if (delayed_in_transit(request, now_us)) {
-		batch_report(
-			pool, b,
-			request->resumed ? PH_VERDICT_BROKEN : PH_VERDICT_NOT_RUN,
-			retry_after(pool, now_us), "long on its way", now_us);
+		batch_report(pool, b,
+			     request->resumed ? PH_VERDICT_BROKEN
+					      : PH_VERDICT_NOT_RUN,
+			     retry_after_us(pool, now_us), "long on its way",
+			     now_us);
 		batch_remove(pool, b);
 		return;
 	}
@@ -454,8 +466,8 @@
 		remember_cancelled(pool, now_us, submitter, seq);
 	if (!b)
 		return;
-	ph_event(PART, "event=batch_cancelled job=%s left=%u", b->request->job,
-		 b->left);
+	ph_event(PART, "event=batch_cancelled job=%s tasks_left=%u",
+		 b->request->job, b->left);
 	batch_end(pool, b, now_us);
 	ph_pool_tick(pool, now_us);
 }
@@ -470,10 +482,10 @@
 
 		if (!strcmp(b->submitter, submitter)) {
 			batch_report(pool, b,
-				   b->started ? PH_VERDICT_BROKEN
-					      : PH_VERDICT_NOT_RUN,
-				   retry_after(pool, now_us),
-				   "its instance is silent", now_us);
+				     b->started ? PH_VERDICT_BROKEN
+						: PH_VERDICT_NOT_RUN,
+				     retry_after_us(pool, now_us),
+				     "its instance is silent", now_us);
 			batch_end(pool, b, now_us);
 		}
 		b = next;
@@ -486,14 +498,14 @@
 {
 	struct ph_executor *x;
 
-	ph_event(PART, "event=pool_acquired domain=%s token=%llu again=%d",
+	ph_event(PART, "event=pool_acquired domain=%s token=%llu was_owner=%d",
 		 pool->opt.domain, (unsigned long long)token, pool->owned);
 	pool->token = token;
 	pool->fenced = false;
 	pool->dirty = true;
 	pool->owned = true;
-	/* Also an owner that was fenced looks again: another one was at work.
-	 */
+	/* Also after a fenced token: another owner may have changed the state
+	 * of the executors since the last polls. */
 	for (x = pool->executors; x; x = x->next) {
 		x->polled = false;
 		x->poll_call = 0;
@@ -514,7 +526,7 @@
 		struct ph_batch *b = pool->batches;
 
 		batch_report(pool, b, PH_VERDICT_MOVED, 0, "another owner",
-			   now_us);
+			     now_us);
 		batch_remove(pool, b);
 	}
 	for (x = pool->executors; x; x = x->next) {
@@ -541,17 +553,18 @@
 	return x;
 }
 
-/* An executor that is no longer listed may still run what another owner has
- * started there: it is looked at for as long as a lease can last. */
+/* Frees unlisted executors once no lease can last there. Until then they are
+ * still polled, as they may have runs that another owner started. Returns
+ * whether there were unlisted ones. */
 static bool drop_unlisted(struct ph_pool *pool, uint64_t now_us)
 {
 	struct ph_executor **at = &pool->executors;
-	bool left = false;
+	bool any_unlisted = false;
 
 	while (*at) {
 		struct ph_executor *x = *at;
 
-		left = left || !x->listed;
+		any_unlisted = any_unlisted || !x->listed;
 		if (x->listed || x->runs ||
 		    now_us < x->unlisted_us + UNLISTED_US) {
 			at = &x->next;
@@ -560,7 +573,7 @@
 		*at = x->next;
 		ph_executor_free(pool, x);
 	}
-	return left;
+	return any_unlisted;
 }
 
 bool ph_pool_update(struct ph_pool *pool, uint64_t now_us,
@@ -596,7 +609,7 @@
 	while (b) {
 		struct ph_batch *next = b->next;
 
-		if (start_overdue(b, now_us))
+		if (batch_overdue(b, now_us))
 			batch_expire(pool, b, now_us);
 		b = next;
 	}
@@ -622,7 +635,7 @@
 		if (total > x->used.cpu_milli)
 			load->free_milli += total - x->used.cpu_milli;
 	}
-	load->backlog_milli_us = backlog(pool);
+	load->backlog_milli_us = backlog_milli_us(pool);
 	for (b = pool->batches; b; b = b->next)
 		load->batches++;
 }
--- a/src/pool_lease.c
+++ b/src/pool_lease.c
@@ -6,29 +6,35 @@
 
 #define PART "lease"
 
-/* Margin to the time that a stop takes at most. */
+/* Margin added to the longest duration of a stop. */
 #define STOP_MARGIN_US 10000U
-/* Time that the batches of a dead owner have to be submitted again before
- * their runs are stopped: two heartbeats and a round trip. */
+/* Time for which orphaned runs wait for the batches of a dead owner to be
+ * submitted again: two heartbeats and a round trip. Then they are stopped. */
 #define CLAIM_US 350000U
-/* The platform's bound: an executor's clock may be this much slow. */
+/* The platform's bound on how much slower an executor's clock may run. */
 #define CLOCK_SLOW_PERCENT 2U
+/* Time added to a computed lease expiry. */
 #define EXPIRY_MARGIN_US 20000U
-/* Avoidance after consecutive failures; doubles up to the longest. */
+/* Back-off after the second failure in a row; doubles with each further one
+ * (AVOID_SHIFT_MAX times at most) up to AVOID_MAX_US. */
 #define AVOID_US 250000U
 #define AVOID_MAX_US 4000000U
 #define AVOID_SHIFT_MAX 4U
+/* Added to a task's run number if an executor has seen it or a higher one. */
 #define OLD_RUN_STEP 16U
-/* Wait for an answer: some times the usual, as an instance that is busy or
- * slow is late to see one, and several turns of the control thread more. */
+/* Time-out of a call: a multiple of the usual time to the answer, as a busy or
+ * slow instance sees an answer late, plus several turns of the control thread.
+ */
 #define TIMEOUT_FACTOR 4U
 #define TIMEOUT_EXTRA_US 50000U
-/* Part of the wait that counts as the time of a missing answer: if all are
- * missing the wait grows to the longest, if few are it hardly grows. */
+/* An unanswered call counts as one that took this part of the time-out: the
+ * time-out grows to its maximum if all answers are missing, and hardly grows if
+ * few are. */
 #define UNANSWERED_DIVISOR 2U
-/* Share of lost looks from which on the time of answers isn't known. */
+/* Share of lost polls from which on too few calls are answered to tell the
+ * usual time to an answer. */
 #define UNRELIABLE_LOST_PERMILLE 600U
-/* Weight of one answer's time in the smoothed one. */
+/* The time of one call has a weight of 1/16 in the smoothed one. */
 #define CALL_TIME_WEIGHT 16U
 
 struct ph_executor *ph_executor_find(struct ph_pool *pool, const char *id)
@@ -64,7 +70,8 @@
 void ph_executor_succeeded(struct ph_executor *x)
 {
 	if (x->faults.count >= 2 || x->unanswered.count >= 2)
-		ph_event(PART, "event=executor_recovered executor=%s", x->info.id);
+		ph_event(PART, "event=executor_recovered executor=%s",
+			 x->info.id);
 	memset(&x->faults, 0, sizeof(x->faults));
 	memset(&x->unanswered, 0, sizeof(x->unanswered));
 }
@@ -113,9 +120,8 @@
 	pool->dirty = true;
 }
 
-/* The run has ended or never was: its task waits again. */
 void ph_run_drop_requeue(struct ph_pool *pool, struct ph_executor *x,
-		 struct ph_run *run)
+			 struct ph_run *run)
 {
 	struct ph_batch *batch = run->batch;
 	uint32_t index = run->index;
@@ -132,7 +138,7 @@
 	pool->mem->free(x);
 }
 
-/* ## Orders */
+/* ## Run commands */
 
 static struct ph_pending_command *call_new(struct ph_pool *pool,
 					   const struct ph_executor *x,
@@ -160,12 +166,13 @@
 	return us < PH_CALL_TIMEOUT_MAX_US ? us : PH_CALL_TIMEOUT_MAX_US;
 }
 
-/* Where some calls get lost, an answer that hasn't come in the usual time of
- * those that come won't; where most do, that time isn't known. */
+/* If some calls get lost, an answer that takes much longer than the received
+ * ones is most likely lost too. If most get lost, the time of the received ones
+ * says too little. */
 uint64_t ph_pool_timeout_us(const struct ph_pool *pool)
 {
-	bool some_lost =
-		pool->short_polls && pool->lost_polls_permille < UNRELIABLE_LOST_PERMILLE;
+	bool some_lost = pool->short_polls &&
+			 pool->lost_polls_permille < UNRELIABLE_LOST_PERMILLE;
 
 	return timeout_us(some_lost ? pool->answered_call_us : pool->call_us);
 }
@@ -176,7 +183,7 @@
 }
 
 static void record_call(struct ph_pool *pool, enum ph_call_status status,
-			 uint64_t took_us)
+			uint64_t took_us)
 {
 	uint64_t missing_us = ph_pool_timeout_us(pool) / UNANSWERED_DIVISOR;
 
@@ -190,7 +197,7 @@
 	pool->answered_call_us = smoothed(pool->answered_call_us, took_us);
 }
 
-/* Takes a call out of the list; the caller frees it. */
+/* Removes a call from the list and returns it, or NULL; the caller frees it. */
 static struct ph_pending_command *call_take(struct ph_pool *pool, uint64_t id)
 {
 	struct ph_pending_command **at = &pool->calls;
@@ -204,7 +211,6 @@
 	return c;
 }
 
-/* Lease end to send now, on the executor's clock. */
 uint64_t ph_lease_end(struct ph_pool *pool, struct ph_executor *x,
 		      uint64_t now_us)
 {
@@ -219,7 +225,8 @@
 	return end;
 }
 
-/* When every lease that was ever sent has run out, on this clock. */
+/* Local time at which every lease sent to the executor has expired; 0 if its
+ * clock is unknown. */
 static uint64_t lease_expiry_us(const struct ph_executor *x)
 {
 	uint64_t left_us;
@@ -234,7 +241,8 @@
 }
 
 static void command_init(struct ph_pool *pool, const struct ph_executor *x,
-		       const struct ph_run *run, struct ph_run_command *command)
+			 const struct ph_run *run,
+			 struct ph_run_command *command)
 {
 	command->executor = x->info.id;
 	command->addr = x->info.addr;
@@ -250,8 +258,8 @@
 {
 	struct ph_batch_task *task = &batch->tasks[index];
 	struct ph_run *run =
-		ph_run_add(pool, x, batch->request->job, index, task->next_run++,
-			   &batch->request->need, now_us);
+		ph_run_add(pool, x, batch->request->job, index,
+			   task->next_run++, &batch->request->need, now_us);
 	struct ph_run_command command = { 0 };
 
 	run->state = PH_RUN_STARTING;
@@ -291,7 +299,8 @@
 		ph_run_stop(pool, run->executor, run, now_us);
 }
 
-/* An executor that is no longer this pool's may have a new owner by right. */
+/* An executor that has left the pool may have another owner already; its
+ * refusal doesn't show that this pool has one. */
 void ph_pool_fenced_by(struct ph_pool *pool, const struct ph_executor *x)
 {
 	if (x->listed)
@@ -322,18 +331,20 @@
 		break;
 	}
 	if (status != PH_CALL_OLD_RUN && status != PH_CALL_LATE)
-		ph_executor_failed(
-			x, status == PH_CALL_UNSENT ? &x->unanswered : &x->faults,
-			now_us);
+		ph_executor_failed(x,
+				   status == PH_CALL_UNSENT ? &x->unanswered
+							    : &x->faults,
+				   now_us);
 	ph_event(PART,
 		 "event=start_refused job=%s task=%u run=%llu executor=%s "
-		 "status=%d",
+		 "call_status=%d",
 		 run->job, run->index, (unsigned long long)run->run, x->info.id,
 		 (int)status);
 	ph_run_drop_requeue(pool, x, run);
 }
 
-/* Takes a call that has ended; finds what it was for, false if that is gone. */
+/* Removes an ended call from the list and finds its executor and run. Returns
+ * false if the run no longer exists. */
 static bool call_ended(struct ph_pool *pool, uint64_t now_us, uint64_t call_id,
 		       enum ph_call_status status, struct ph_executor **x,
 		       struct ph_run **run)
@@ -366,7 +377,8 @@
 		}
 		return;
 	case PH_CALL_UNKNOWN:
-		/* It may still start: the stop makes sure that it doesn't. */
+		/* The run may have started or may still start; the stop ends
+		 * or prevents it. */
 		ph_executor_failed(x, &x->unanswered, now_us);
 		ph_event(PART,
 			 "event=start_unanswered job=%s task=%u run=%llu "
@@ -399,11 +411,12 @@
 	}
 }
 
-/* ## Time */
+/* ## Time-outs */
 
-/* Everything on an executor that can't be renewed ends with its lease. */
+/* Drops all runs of an executor that doesn't answer polls once their leases
+ * have expired. */
 static void expire_runs(struct ph_pool *pool, struct ph_executor *x,
-		       uint64_t now_us)
+			uint64_t now_us)
 {
 	if (!x->runs || !x->poll_failures || now_us < lease_expiry_us(x))
 		return;
@@ -414,8 +427,8 @@
 	}
 }
 
-/* Its stop was acknowledged so long ago that it runs no more, and it starts no
- * more if it never came: no look is needed to tell. */
+/* True if the run's stop was acknowledged so long ago that the run has ended,
+ * or can no longer start, also without a poll that reports it. */
 static bool stop_completed(const struct ph_pool *pool, const struct ph_run *run,
 			   uint64_t now_us)
 {
--- a/src/pool_placement.c
+++ b/src/pool_placement.c
@@ -5,37 +5,42 @@
 
 #define PART "placement"
 
-/* Response time that is lost outside the pool: the way from and to the
- * caller and the processing on it. */
+/* Part of the response time that is spent outside the pool: the network
+ * between caller and pool, both ways, and the processing on it. */
 #define TARGET_MARGIN_US 12000U
-/* An executor whose looks fail longer than this gets no new work; a look
- * takes at most a quarter of the lease. */
+/* An executor gets no new tasks if its last successful poll is longer ago than
+ * this part of the lease; a long poll waits for at most a quarter of it. */
 #define SILENT_DIVISOR 2U
-/* An owner that hears nothing of a batch's instance, or is fenced, lets go of
- * the batch within this time of the instance's doing so. */
+/* An owner that is cut off from a submitter, or whose token is refused, ends
+ * the submitter's batches at most this long after the submitter has abandoned
+ * that owner. */
 #define SUBMITTER_LOSS_US 300000U
 #define PERCENT 100U
-/* If more than this share of the executors that answer looks have left an order
- * unanswered, calls get lost by the way: none is avoided for that. */
+/* If more than this share of the executors that answer polls have left run
+ * commands unanswered, the network is taken to lose calls, and no executor is
+ * avoided for unanswered commands. */
 #define WIDESPREAD_LOSS_PERCENT 30U
+/* Lower bound of the relative run time by which executors are ranked. */
 #define RUN_TIME_MIN_PERCENT 30U
 
 uint64_t ph_batch_latest_start(const struct ph_batch *batch)
 {
-	uint64_t aim = batch->arrived_us + batch->request->target_us;
-	uint64_t need = batch->request->estimate_us + TARGET_MARGIN_US;
+	uint64_t target_at_us = batch->arrived_us + batch->request->target_us;
+	uint64_t need_us = batch->request->estimate_us + TARGET_MARGIN_US;
 
-	return aim > need ? aim - need : 0;
+	return target_at_us > need_us ? target_at_us - need_us : 0;
 }
 
 /* ## Order of starts */
 
+/** Precedence of batches by slack; lower values start first. */
 enum lateness {
-	/** Begun: what ran of it is lost if the rest can't follow. */
+	/** Partly run: what it has computed is lost if the rest can't run. */
 	STARTED,
-	/** Can meet its aim. */
+	/** Can still meet its latency target. */
 	IN_TIME,
-	/** Can't; what can't be of use any more is given up before. */
+	/** Can't meet its target any more, but its result is still of use; else
+	 * it would have been ended. */
 	LATE,
 };
 
@@ -49,19 +54,20 @@
 static bool slack_before(const struct ph_batch *a, const struct ph_batch *b,
 			 uint64_t now_us)
 {
-	enum lateness late_a = lateness(a, now_us);
-	enum lateness late_b = lateness(b, now_us);
+	enum lateness a_lateness = lateness(a, now_us);
+	enum lateness b_lateness = lateness(b, now_us);
 
-	if (late_a != late_b)
-		return late_a < late_b;
-	if (late_a != LATE)
+	if (a_lateness != b_lateness)
+		return a_lateness < b_lateness;
+	if (a_lateness != LATE)
 		return ph_batch_latest_start(a) < ph_batch_latest_start(b);
 	if (a->request->priority != b->request->priority)
 		return a->request->priority < b->request->priority;
 	return a->arrived_us < b->arrived_us;
 }
 
-const struct ph_scheduling_policy ph_scheduling_slack = { "slack", slack_before };
+const struct ph_scheduling_policy ph_scheduling_slack = { "slack",
+							  slack_before };
 
 static bool fifo_before(const struct ph_batch *a, const struct ph_batch *b,
 			uint64_t now_us)
@@ -80,7 +86,7 @@
 
 /* ## Placement */
 
-/* It answers, and stays. */
+/* True if the executor answers polls and isn't about to leave. */
 static bool reachable(const struct ph_pool *pool, const struct ph_executor *x,
 		      uint64_t now_us)
 {
@@ -96,13 +102,14 @@
 	       (now_us >= x->unanswered.until_us || pool->widespread_loss);
 }
 
-/* Decides whether executors are to blame for orders without an answer. */
+/* Decides whether unanswered commands are put down to single executors, or to
+ * the network. */
 static void update_widespread_loss(struct ph_pool *pool, uint64_t now_us)
 {
 	const struct ph_executor *x;
 	uint32_t all = 0;
 	uint32_t losing = 0;
-	bool widespread_loss;
+	bool widespread;
 
 	for (x = pool->executors; x; x = x->next) {
 		if (!reachable(pool, x, now_us))
@@ -110,14 +117,14 @@
 		all++;
 		losing += x->unanswered.count > 0;
 	}
-	widespread_loss = losing * PERCENT > all * WIDESPREAD_LOSS_PERCENT;
-	if (widespread_loss != pool->widespread_loss)
+	widespread = losing * PERCENT > all * WIDESPREAD_LOSS_PERCENT;
+	if (widespread != pool->widespread_loss)
 		ph_event(PART,
 			 "event=call_loss_%s pool=%s executors_with_loss=%u "
 			 "executors_reachable=%u",
-			 widespread_loss ? "widespread" : "local", pool->opt.domain,
+			 widespread ? "widespread" : "local", pool->opt.domain,
 			 losing, all);
-	pool->widespread_loss = widespread_loss;
+	pool->widespread_loss = widespread;
 }
 
 static bool label_ok(const struct ph_executor *x, const char *label)
@@ -133,27 +140,32 @@
 	return false;
 }
 
-/* What an executor is blamed for. */
+/* Failures that count against an executor. */
 static uint32_t failures(const struct ph_pool *pool,
 			 const struct ph_executor *x)
 {
-	return x->faults.count + (pool->widespread_loss ? 0 : x->unanswered.count);
+	return x->faults.count +
+	       (pool->widespread_loss ? 0 : x->unanswered.count);
 }
 
-/* Smaller is better: sound ones first, then the tightest fit, then speed. */
+/* The executor with the lowest rank is chosen: first by the number of failures,
+ * then by the cores left on it times its relative run time, which prefers a
+ * tight fit and a fast executor. */
 static uint64_t rank(const struct ph_pool *pool, const struct ph_executor *x,
 		     const struct ph_capacity *need)
 {
 	uint64_t left = x->info.capacity.cpu_milli - x->used.cpu_milli -
 			need->cpu_milli;
-	uint64_t pace = x->run_time_percent < RUN_TIME_MIN_PERCENT ? RUN_TIME_MIN_PERCENT
-							   : x->run_time_percent;
+	uint64_t run_time = x->run_time_percent < RUN_TIME_MIN_PERCENT
+				    ? RUN_TIME_MIN_PERCENT
+				    : x->run_time_percent;
 
-	return ((uint64_t)failures(pool, x) << 48) + left * pace / PERCENT;
+	return ((uint64_t)failures(pool, x) << 48) + left * run_time / PERCENT;
 }
 
-static struct ph_executor *pick(struct ph_pool *pool,
-				const struct ph_batch *batch, uint64_t now_us)
+static struct ph_executor *choose_executor(struct ph_pool *pool,
+					   const struct ph_batch *batch,
+					   uint64_t now_us)
 {
 	const struct ph_batch_request *w = batch->request;
 	struct ph_executor *best = NULL;
@@ -165,7 +177,8 @@
 		    !ph_capacity_fits(&x->info.capacity, &x->used, &w->need) ||
 		    !label_ok(x, w->label))
 			continue;
-		/* One that has failed proves itself with a single run. */
+		/* After a failure an executor gets one run at a time until one
+		 * succeeds. */
 		if (failures(pool, x) && x->runs)
 			continue;
 		if (!best ||
@@ -175,10 +188,12 @@
 	return best;
 }
 
-/* When everything that an earlier owner left of a batch has surely lapsed. An
- * owner that is cut off renews until it is fenced by another executor or gives
- * the batch up, about when the batch comes here. */
-static uint64_t orphans_expired_us(const struct ph_pool *pool, const struct ph_batch *b)
+/* Time by which the leases of all runs that an earlier owner started for a
+ * batch have expired. An owner that is cut off renews them until an executor
+ * refuses its token or it ends the batch, which it does at about the time at
+ * which the batch is submitted here. */
+static uint64_t orphans_expired_us(const struct ph_pool *pool,
+				   const struct ph_batch *b)
 {
 	return b->received_us + SUBMITTER_LOSS_US + pool->opt.lease_us +
 	       pool->opt.lease_us / 10;
@@ -204,9 +219,11 @@
 	return false;
 }
 
-/* A resumed task starts again only if its run would have been seen here. */
-static bool earlier_run_gone(const struct ph_pool *pool, const struct ph_batch *b,
-			uint32_t index, uint64_t now_us)
+/* True if a task has no run left from an earlier owner: such a run would have
+ * been reported by a poll, or its lease has expired. */
+static bool earlier_run_gone(const struct ph_pool *pool,
+			     const struct ph_batch *b, uint32_t index,
+			     uint64_t now_us)
 {
 	uint32_t where = b->request->where[index];
 
@@ -214,12 +231,12 @@
 	    now_us >= orphans_expired_us(pool, b))
 		return true;
 	return where == PH_EXECUTOR_UNKNOWN ? all_polled(pool)
-					 : executor_polled(pool, where);
+					    : executor_polled(pool, where);
 }
 
-/* A run of the task that is left from an earlier submission. */
-static bool still_running(const struct ph_pool *pool, const char *job,
-			  uint32_t index)
+/* True if a run of the task is left, from an earlier submission of the job or
+ * being stopped. */
+static bool has_run(const struct ph_pool *pool, const char *job, uint32_t index)
 {
 	const struct ph_executor *x;
 	const struct ph_run *r;
@@ -231,7 +248,7 @@
 	return false;
 }
 
-/* Starts the waiting tasks of a batch that find room. */
+/* Starts the waiting tasks of a batch until one finds no executor. */
 static void place_batch(struct ph_pool *pool, struct ph_batch *b,
 			uint64_t now_us)
 {
@@ -242,9 +259,9 @@
 
 		if (b->tasks[i].state != PH_BATCH_TASK_WAITING ||
 		    !earlier_run_gone(pool, b, i, now_us) ||
-		    still_running(pool, b->request->job, i))
+		    has_run(pool, b->request->job, i))
 			continue;
-		x = pick(pool, b, now_us);
+		x = choose_executor(pool, b, now_us);
 		if (!x)
 			return;
 		ph_run_start(pool, x, b, i, now_us);
@@ -279,10 +296,10 @@
 	return sum;
 }
 
-/* Core time of what waits, was looked at before, and needs the executors that
- * a batch needs: other work need not hold it up. */
+/* Core time of waiting tasks that precede a batch in this round and need the
+ * same service and label; tasks for other executors need not delay it. */
 static uint64_t core_time_ahead(const struct ph_pool *pool,
-			   const struct ph_batch *batch)
+				const struct ph_batch *batch)
 {
 	const struct ph_batch_request *w = batch->request;
 	const struct ph_batch *b;
@@ -292,7 +309,8 @@
 		if (b != batch && b->visited &&
 		    !strcmp(b->request->service, w->service) &&
 		    !strcmp(b->request->label, w->label))
-			sum += (uint64_t)b->waiting * b->request->need.cpu_milli *
+			sum += (uint64_t)b->waiting *
+			       b->request->need.cpu_milli *
 			       b->request->estimate_us;
 	return sum;
 }
@@ -301,7 +319,7 @@
 {
 	struct ph_batch *b;
 
-	/* A token that was refused somewhere may be another owner's by now. */
+	/* A refused token means that another instance may own the pool. */
 	if (pool->fenced)
 		return;
 	update_widespread_loss(pool, now_us);
@@ -313,7 +331,8 @@
 		b->ahead_milli_us = b->waiting ? core_time_ahead(pool, b) : 0;
 		b->usable_milli =
 			b->ahead_milli_us
-				? usable_milli(pool, b->request->service, now_us)
+				? usable_milli(pool, b->request->service,
+					       now_us)
 				: 0;
 	}
 	pool->dirty = false;
--- a/src/pool_poll.c
+++ b/src/pool_poll.c
@@ -1,4 +1,5 @@
-/* Looks at executors: what has ended, what runs and how fast. */
+/* Polls of executors: which runs have ended, which are running, and how fast.
+ */
 
 #include <string.h>
 
@@ -7,34 +8,40 @@
 
 #define PART "poll"
 
-/* A long poll ends well before the lease that it renewed, so that a lost one
- * can be repeated in time. */
+/* A long poll waits for this part of the lease that it renewed, so that a lost
+ * one can be repeated before the lease expires. */
 #define POLL_WAIT_DIVISOR 4U
-/* Where looks get lost a long one hides for long what has ended. */
+/* Part of the lease while polls get lost: a lost long poll delays the report of
+ * ended runs by its whole wait. */
 #define SHORT_POLL_WAIT_DIVISOR 8U
-/* From this share on; a calm link loses none. */
+/* Polls are kept short above this share of lost ones, in thousandths; a sound
+ * network loses none. */
 #define SHORT_POLL_LOST_PERMILLE 30U
-/* Weight of one look in the smoothed share. */
+/* One poll has a weight of 1/32 in the smoothed share. */
 #define POLL_WEIGHT 32U
-/* First retry of a look that failed; doubles up to the longest. */
+/* Delay of the second retry of a poll (the first has none); doubles up to
+ * POLL_RETRY_MAX_US. */
 #define POLL_RETRY_US 50000U
 #define POLL_RETRY_MAX_US 400000U
-/* Room that an unclaimed run of unknown size is taken to use. */
+/* Capacity reserved for an orphaned run whose usage wasn't reported. */
 #define ORPHANED_CPU_MILLI 1000U
-/* A run that takes this many times its declared time, and longer than a look's
- * way, is slow: declared times are off by half, executors by a third. */
+/* A run is too slow if it takes this many times its declared time, and a poll's
+ * round trip more: declared times are off by up to a half, and the speed of
+ * executors differs by a third. */
 #define SLOW_FACTOR 3U
 #define SLOW_EXTRA_US 50000U
-/* A task is taken from a slow executor once; the next may be no better. */
-#define MOVES_MAX 1U
-/* Leases, at most, that an executor grants to an order which names none that it
- * can make sense of. */
+/* A task is moved off a slow executor at most once, as the next executor may be
+ * no faster. */
+#define MAX_MOVES 1U
+/* An executor grants a lease of at most this many lease durations to a start
+ * command whose lease end makes no sense on its clock. */
 #define RESTARTED_LEASES 2U
 #define PERCENT 100U
 #define PERMILLE 1000U
 
-/* A look that repeats a failed one renews nothing: it may arrive without an
- * answer, and what runs there has to lapse at a time that is known. */
+/* A poll after a failed one doesn't renew the lease: it might arrive and its
+ * answer be lost, but the time at which the runs' leases expire has to be
+ * certain. */
 void ph_poll_send(struct ph_pool *pool, struct ph_executor *x, uint64_t now_us)
 {
 	struct ph_poll poll = { 0 };
@@ -63,10 +70,12 @@
 {
 	bool before = pool->short_polls;
 
-	pool->lost_polls_permille = ((POLL_WEIGHT - 1) * pool->lost_polls_permille +
-			       (lost ? PERMILLE : 0)) /
-			      POLL_WEIGHT;
-	pool->short_polls = pool->lost_polls_permille > SHORT_POLL_LOST_PERMILLE;
+	pool->lost_polls_permille =
+		((POLL_WEIGHT - 1) * pool->lost_polls_permille +
+		 (lost ? PERMILLE : 0)) /
+		POLL_WEIGHT;
+	pool->short_polls =
+		pool->lost_polls_permille > SHORT_POLL_LOST_PERMILLE;
 	if (pool->short_polls != before)
 		ph_event(PART, "event=polls_%s pool=%s lost_polls_permille=%u",
 			 before ? "long" : "short", pool->opt.domain,
@@ -78,27 +87,29 @@
 {
 	uint64_t wait_us = 0;
 
-	/* The first one may just be lost: it is repeated at once. */
+	/* A single failure may be a lost message: retry at once. */
 	if (x->poll_failures)
 		wait_us = (uint64_t)POLL_RETRY_US
 			  << (x->poll_failures < 4 ? x->poll_failures - 1 : 3);
 	if (reply->status == PH_CALL_FENCED)
 		ph_pool_fenced_by(pool, x);
 	if (!x->poll_failures)
-		ph_event(PART,
-			 "event=executor_unreachable executor=%s status=%d",
-			 x->info.id, (int)reply->status);
+		ph_event(
+			PART,
+			"event=executor_unreachable executor=%s call_status=%d",
+			x->info.id, (int)reply->status);
 	x->poll_failures++;
 	x->next_poll_us =
 		now_us +
 		(wait_us > POLL_RETRY_MAX_US ? POLL_RETRY_MAX_US : wait_us);
 }
 
-/* What ran in the life before is gone, as the rest of the look shows. An order
- * that was under way may have reached the new life, which shortens a lease that
- * was reckoned by the clock of the old one. */
+/* Resets what is known of an executor that has restarted. Its runs have ended;
+ * the rest of the poll's answer shows that. A start command that was under way
+ * may have reached the new incarnation, which shortens a lease end that was
+ * computed for the earlier incarnation's clock. */
 static void executor_restarted(struct ph_pool *pool, struct ph_executor *x,
-		   const struct ph_poll_reply *reply)
+			       const struct ph_poll_reply *reply)
 {
 	ph_event(PART, "event=executor_restarted executor=%s started_ms=%llu",
 		 x->info.id, (unsigned long long)reply->started_ms);
@@ -110,11 +121,12 @@
 }
 
 static void remember_orphaned_end(struct ph_pool *pool,
-			       const struct ph_run_report *seen,
-			       uint64_t now_us)
+				  const struct ph_run_report *seen,
+				  uint64_t now_us)
 {
 	struct ph_orphaned_end *s =
-		&pool->orphaned_ends[pool->orphaned_end_next++ % PH_ORPHANED_ENDS];
+		&pool->orphaned_ends[pool->orphaned_end_next++ %
+				     PH_ORPHANED_ENDS];
 
 	ph_strcopy(s->job, sizeof(s->job), seen->job);
 	s->index = seen->index;
@@ -122,7 +134,7 @@
 }
 
 static void record_run_time(struct ph_executor *x, const struct ph_run *run,
-		       uint64_t now_us)
+			    uint64_t now_us)
 {
 	uint64_t estimate = run->batch->request->estimate_us;
 	uint64_t percent;
@@ -132,43 +144,44 @@
 	percent = (now_us - run->created_us) * 100 / estimate;
 	if (percent > 1000)
 		percent = 1000;
-	x->run_time_percent = (uint32_t)((7 * x->run_time_percent + percent) / 8);
+	x->run_time_percent =
+		(uint32_t)((7 * x->run_time_percent + percent) / 8);
 }
 
-static bool slow(const struct ph_run *run, uint64_t run_us)
+static bool too_slow(const struct ph_run *run, uint64_t run_us)
 {
 	return run_us >
 	       SLOW_FACTOR * run->batch->request->estimate_us + SLOW_EXTRA_US;
 }
 
-/* Takes a run that stands still, or crawls, from its executor while it can
- * still meet its aim elsewhere. */
-static void check_progress(struct ph_pool *pool, struct ph_executor *x,
-			   struct ph_run *run, uint64_t now_us)
+/* Stops a run that makes no or little progress, so that its task restarts on
+ * another executor, if it can still end within the caller's timeout there. */
+static void move_if_slow(struct ph_pool *pool, struct ph_executor *x,
+			 struct ph_run *run, uint64_t now_us)
 {
-	uint64_t so_far_us = now_us - run->created_us;
-	struct ph_batch_task *slot;
+	uint64_t elapsed_us = now_us - run->created_us;
+	struct ph_batch_task *task;
 
 	if (!run->batch || run->state != PH_RUN_RUNNING ||
-	    !slow(run, so_far_us))
+	    !too_slow(run, elapsed_us))
 		return;
-	/* Most of it is done: it ends sooner than another would. */
+	/* More than half done: likely to end sooner than a new run. */
 	if (run->percent > PERCENT / 2)
 		return;
-	slot = &run->batch->tasks[run->index];
-	if (slot->moves >= MOVES_MAX ||
+	task = &run->batch->tasks[run->index];
+	if (task->moves >= MAX_MOVES ||
 	    now_us + run->batch->request->estimate_us >
 		    run->batch->arrived_us +
 			    run->batch->request->caller_timeout_us)
 		return;
-	slot->moves++;
+	task->moves++;
 	pool->counters.moved_runs++;
 	ph_executor_failed(x, &x->faults, now_us);
 	ph_event(PART,
 		 "event=run_slow job=%s task=%u run=%llu executor=%s "
-		 "percent=%u so_far_us=%llu",
+		 "progress_percent=%u elapsed_us=%llu",
 		 run->job, run->index, (unsigned long long)run->run, x->info.id,
-		 run->percent, (unsigned long long)so_far_us);
+		 run->percent, (unsigned long long)elapsed_us);
 	ph_run_stop(pool, x, run, now_us);
 }
 
@@ -189,7 +202,8 @@
 	case PH_END_DONE:
 		if (batch && !x->ends_delayed)
 			record_run_time(x, run, now_us);
-		if (batch && !x->ends_delayed && slow(run, now_us - run->created_us))
+		if (batch && !x->ends_delayed &&
+		    too_slow(run, now_us - run->created_us))
 			ph_executor_failed(x, &x->faults, now_us);
 		else
 			ph_executor_succeeded(x);
@@ -216,8 +230,8 @@
 	}
 }
 
-static void run_seen(struct ph_pool *pool, struct ph_executor *x,
-		     const struct ph_run_report *seen, uint64_t now_us)
+static void run_reported(struct ph_pool *pool, struct ph_executor *x,
+			 const struct ph_run_report *seen, uint64_t now_us)
 {
 	struct ph_run *run = ph_run_find(x, seen->job, seen->index, seen->run);
 	struct ph_capacity need = { 0 };
@@ -234,11 +248,11 @@
 		run->acked_us = now_us;
 	}
 	run->percent = seen->percent;
-	check_progress(pool, x, run, now_us);
+	move_if_slow(pool, x, run, now_us);
 }
 
-static bool listed_in(const struct ph_run *run,
-		      const struct ph_run_report *list, size_t count)
+static bool reported_in(const struct ph_run *run,
+			const struct ph_run_report *list, size_t count)
 {
 	size_t i;
 
@@ -249,8 +263,9 @@
 	return false;
 }
 
-/* Runs that were answered before the look was sent and that it doesn't show
- * are gone: lapsed, or stopped before they came. */
+/* Drops runs that the poll doesn't report, if they are orphaned or their latest
+ * command was acknowledged before the poll was sent: their lease expired, or
+ * they were stopped before they began. */
 static void drop_absent(struct ph_pool *pool, struct ph_executor *x,
 			const struct ph_poll_reply *reply)
 {
@@ -258,11 +273,11 @@
 
 	while (run) {
 		struct ph_run *next = run->next;
-		bool stray = run->state == PH_RUN_ORPHANED;
+		bool orphaned = run->state == PH_RUN_ORPHANED;
 
-		if ((stray ||
+		if ((orphaned ||
 		     (run->acked_us && run->acked_us < x->poll_sent_us)) &&
-		    !listed_in(run, reply->running, reply->running_count))
+		    !reported_in(run, reply->running, reply->running_count))
 			ph_run_drop_requeue(pool, x, run);
 		run = next;
 	}
@@ -286,7 +301,8 @@
 		return;
 	}
 	if (x->poll_failures)
-		ph_event(PART, "event=executor_reachable executor=%s failures=%u",
+		ph_event(PART,
+			 "event=executor_reachable executor=%s failures=%u",
 			 x->info.id, x->poll_failures);
 	x->ends_delayed = x->poll_failures;
 	x->poll_failures = 0;
@@ -306,7 +322,7 @@
 		run_ended(pool, x, &reply->ended[i], now_us);
 	}
 	for (i = 0; i < reply->running_count; i++)
-		run_seen(pool, x, &reply->running[i], now_us);
+		run_reported(pool, x, &reply->running[i], now_us);
 	drop_absent(pool, x, reply);
 	ph_pool_claim_orphans(pool, now_us);
 	pool->dirty = true;
