--- a/bench/load_model.cc
+++ b/bench/load_model.cc
@@ -195,7 +195,7 @@
 			job_of(kinds[k], ++number, &rng, &run_ms);
 
 		w.at(next, [&, k, job, run_ms] {
-			sent[w.submit_work(o, job,
+			sent[w.submit_request(o, job,
 					   (uint64_t)(run_ms * kMs))] = {
 				k, w.now_us, run_ms,
 				credit_of(kinds[k], job, run_ms)
--- a/src/pool.h
+++ b/src/pool.h
@@ -125,13 +125,20 @@
 		     struct ph_pool_load *load);
 
 struct ph_pool_counters {
+	/** Start commands sent. */
 	uint64_t starts;
+	/** Start commands refused for lack of capacity. */
 	uint64_t no_room;
 	uint64_t failed_runs;
+	/** Runs that ended because their lease expired. */
 	uint64_t expired_runs;
+	/** Runs stopped because they were too slow, to restart elsewhere. */
 	uint64_t moved_runs;
+	/** Orphaned runs that no batch claimed in time. */
 	uint64_t orphans_stopped;
+	/** Orphaned runs that resumed batches claimed. */
 	uint64_t adopted;
+	/** Polls sent. */
 	uint64_t looks;
 };
 
--- a/test/pool_world.cc
+++ b/test/pool_world.cc
@@ -12,8 +12,8 @@
 	return std::string(job) + "." + std::to_string(index);
 }
 
-/* Scatters the numbers of calls. */
-static uint32_t mix(uint32_t n)
+/* Hashes the number of a call, to spread the lost calls evenly. */
+static uint32_t scatter(uint32_t n)
 {
 	return n * 2654435761U >> 12;
 }
@@ -38,7 +38,7 @@
 	return sum;
 }
 
-/* ## What an executor does with an order */
+/* ## Executors' handling of run commands */
 
 static ph_call_status start(World *w, Executor *x, const Run &run,
 			    uint64_t token, uint64_t until_ms)
@@ -49,14 +49,14 @@
 	if (until_ms && until_ms < clock_ms(w))
 		return PH_CALL_LATE;
 	x->lease_until_us = std::max(x->lease_until_us, until_ms * kMs);
-	if (x->top_run[run.key] >= run.run)
+	if (x->highest_run[run.key] >= run.run)
 		return PH_CALL_OLD_RUN;
 	if (used(x) + run.cpu > x->cpu)
 		return PH_CALL_NO_ROOM;
 	for (const Executor &other : w->executors)
 		for (const Run &r : other.running)
-			w->twice += r.key == run.key;
-	x->top_run[run.key] = run.run;
+			w->concurrent_runs += r.key == run.key;
+	x->highest_run[run.key] = run.run;
 	x->running.push_back(run);
 	w->starts++;
 	return PH_CALL_OK;
@@ -68,7 +68,7 @@
 	if (token < x->token)
 		return PH_CALL_FENCED;
 	x->token = token;
-	x->top_run[key] = std::max(x->top_run[key], run);
+	x->highest_run[key] = std::max(x->highest_run[key], run);
 	for (size_t i = 0; i < x->running.size(); i++)
 		if (x->running[i].key == key && x->running[i].run <= run) {
 			end_run(x, i, PH_END_STOPPED);
@@ -93,14 +93,14 @@
 struct Calls {
 	static void reply(Owner *o, std::function<void()> what)
 	{
-		o->world->at(o->world->now_us + kWayUs, [o, what] {
+		o->world->at(o->world->now_us + kLatencyUs, [o, what] {
 			if (!o->frozen)
 				what();
 		});
 	}
 
-	static void order_reply(Owner *o, uint64_t id, bool is_stop,
-				ph_call_status status)
+	static void command_reply(Owner *o, uint64_t id, bool is_stop,
+				  ph_call_status status)
 	{
 		reply(o, [=] {
 			ph_run_command_reply r = { status, clock_ms(o->world) };
@@ -114,42 +114,44 @@
 		});
 	}
 
-	/* Delivers an order, or reports it unanswered after its time. */
+	/* Delivers a call to an executor; if it gets lost, calls on_timeout
+	 * after timeout_us instead. */
 	static void deliver(Owner *o, const std::string &id,
 			    uint64_t timeout_us,
 			    std::function<void(Executor *)> what,
-			    std::function<void()> unanswered)
+			    std::function<void()> on_timeout)
 	{
 		World *w = o->world;
 
-		w->at(w->now_us + kWayUs, [=] {
+		w->at(w->now_us + kLatencyUs, [=] {
 			Executor *x = w->find(id);
-			bool lost = x && x->loses_one_in &&
-				    mix(++x->calls) % x->loses_one_in == 0;
+			bool lost =
+				x && x->loses_one_call_in &&
+				scatter(++x->calls) % x->loses_one_call_in == 0;
 
-			if (x && !x->cut_from.count(o->number) && !lost)
+			if (x && !x->unreachable_from.count(o->number) && !lost)
 				what(x);
 			else
-				w->at(w->now_us + timeout_us, unanswered);
+				w->at(w->now_us + timeout_us, on_timeout);
 		});
 	}
 
-	static void on_start(void *ctx, const ph_run_command *order)
+	static void on_start(void *ctx, const ph_run_command *command)
 	{
 		Owner *o = static_cast<Owner *>(ctx);
 		World *w = o->world;
-		std::string job = order->job;
-		Run run = { key_of(order->job, order->index),
+		std::string job = command->job;
+		Run run = { key_of(command->job, command->index),
 			    job,
-			    order->index,
-			    order->run,
+			    command->index,
+			    command->run,
 			    w->cpu_of[job],
 			    0,
 			    0,
 			    false };
-		uint64_t token = order->token;
-		uint64_t until = order->lease_until_ms;
-		uint64_t id = order->call_id;
+		uint64_t token = command->token;
+		uint64_t until = command->lease_until_ms;
+		uint64_t id = command->call_id;
 
 		auto carry_out = [=](Executor *x) {
 			Run r = run;
@@ -165,16 +167,16 @@
 		};
 		auto unknown = [=] {
 			if (!o->frozen)
-				order_reply(o, id, false, PH_CALL_UNKNOWN);
+				command_reply(o, id, false, PH_CALL_UNKNOWN);
 		};
 
 		deliver(
-			o, order->executor, order->timeout_us,
+			o, command->executor, command->timeout_us,
 			[=](Executor *x) {
 				std::string xid = x->id;
 
-				if (x->starts_late_us) {
-					w->at(w->now_us + x->starts_late_us,
+				if (x->start_delay_us) {
+					w->at(w->now_us + x->start_delay_us,
 					      [=] { carry_out(w->find(xid)); });
 					w->at(w->now_us + 200 * kMs, unknown);
 					return;
@@ -184,35 +186,35 @@
 				if (x->loses_start_answers)
 					w->at(w->now_us + 200 * kMs, unknown);
 				else
-					order_reply(o, id, false, s);
+					command_reply(o, id, false, s);
 			},
 			unknown);
 	}
 
-	static void on_stop(void *ctx, const ph_run_command *order)
+	static void on_stop(void *ctx, const ph_run_command *command)
 	{
 		Owner *o = static_cast<Owner *>(ctx);
-		std::string key = key_of(order->job, order->index);
-		uint64_t run = order->run;
-		uint64_t token = order->token;
-		uint64_t id = order->call_id;
+		std::string key = key_of(command->job, command->index);
+		uint64_t run = command->run;
+		uint64_t token = command->token;
+		uint64_t id = command->call_id;
 
 		deliver(
-			o, order->executor, order->timeout_us,
+			o, command->executor, command->timeout_us,
 			[=](Executor *x) {
-				order_reply(o, id, true,
-					    stop(x, key, run, token));
+				command_reply(o, id, true,
+					      stop(x, key, run, token));
 			},
-			[=] { order_reply(o, id, true, PH_CALL_UNKNOWN); });
+			[=] { command_reply(o, id, true, PH_CALL_UNKNOWN); });
 	}
 
-	static void look_reply(Owner *o, Executor *x, uint64_t id,
+	static void poll_reply(Owner *o, Executor *x, uint64_t id,
 			       uint64_t ends_seen)
 	{
 		std::vector<ph_run_report> running;
 		std::vector<ph_run_report> ended;
 		uint64_t clock = clock_ms(o->world);
-		uint64_t born = x->started_ms;
+		uint64_t started = x->started_ms;
 
 		for (const Run &r : x->running) {
 			running.push_back(seen(r));
@@ -232,7 +234,7 @@
 
 			r.status = PH_CALL_OK;
 			r.clock_ms = clock;
-			r.started_ms = born;
+			r.started_ms = started;
 			r.running = running.data();
 			r.running_count = running.size();
 			r.ended = ended.data();
@@ -241,22 +243,23 @@
 		});
 	}
 
-	/* Waits for an end, in steps of a millisecond. */
-	static void look_wait(Owner *o, const std::string &xid, uint64_t id,
+	/* Answers a poll once there is an end that isn't acknowledged, or at
+	 * until_us; checks every millisecond. */
+	static void poll_wait(Owner *o, const std::string &xid, uint64_t id,
 			      uint64_t ends_seen, uint64_t until_us)
 	{
 		World *w = o->world;
 		Executor *x = w->find(xid);
 
 		if (x->next_end > ends_seen + 1 || w->now_us >= until_us) {
-			look_reply(o, x, id, ends_seen);
+			poll_reply(o, x, id, ends_seen);
 			return;
 		}
 		w->at(w->now_us + kMs,
-		      [=] { look_wait(o, xid, id, ends_seen, until_us); });
+		      [=] { poll_wait(o, xid, id, ends_seen, until_us); });
 	}
 
-	static void look_failed(Owner *o, uint64_t id, ph_call_status status)
+	static void poll_failed(Owner *o, uint64_t id, ph_call_status status)
 	{
 		reply(o, [=] {
 			ph_poll_reply r = {};
@@ -280,7 +283,7 @@
 			o, poll->executor, wait + poll->timeout_us,
 			[=](Executor *x) {
 				if (token < x->token) {
-					look_failed(o, id, PH_CALL_FENCED);
+					poll_failed(o, id, PH_CALL_FENCED);
 					return;
 				}
 				x->token = token;
@@ -289,10 +292,10 @@
 				while (!x->ends.empty() &&
 				       x->ends[0].number <= seen_up_to)
 					x->ends.erase(x->ends.begin());
-				look_wait(o, x->id, id, seen_up_to,
+				poll_wait(o, x->id, id, seen_up_to,
 					  w->now_us + wait);
 			},
-			[=] { look_failed(o, id, PH_CALL_UNKNOWN); });
+			[=] { poll_failed(o, id, PH_CALL_UNKNOWN); });
 	}
 
 	static void on_result(void *ctx, const char *, uint64_t seq,
@@ -384,12 +387,13 @@
 void World::step_executors()
 {
 	for (Executor &x : executors) {
-		bool lapsed = x.lease_until_us && now_us > x.lease_until_us;
+		bool lease_expired =
+			x.lease_until_us && now_us > x.lease_until_us;
 
 		for (size_t i = x.running.size(); i-- > 0;) {
 			Run &r = x.running[i];
 
-			if (lapsed) {
+			if (lease_expired) {
 				end_run(&x, i, PH_END_LEASE_EXPIRED);
 			} else if (now_us >= r.end_us) {
 				if (!r.fails)
@@ -422,26 +426,26 @@
 	}
 }
 
-uint64_t World::submit_work(Owner *owner, const ph_batch_request &work,
-			    uint64_t duration)
+uint64_t World::submit_request(Owner *owner, const ph_batch_request &request,
+			       uint64_t duration)
 {
 	ph_batch_request *w = static_cast<ph_batch_request *>(
 		ph_mem_default()->calloc(1, sizeof(ph_batch_request)));
 	uint64_t seq = ++last_seq;
 
-	*w = work;
+	*w = request;
 	w->spec = ph_memdup(ph_mem_default(), "x", 1);
 	w->spec_len = 1;
 	duration_us[w->job] = duration;
 	cpu_of[w->job] = w->need.cpu_milli;
-	works[seq] = *w;
+	requests[seq] = *w;
 	ph_pool_submit(owner->pool, now_us, "front", seq, w);
 	return seq;
 }
 
 uint64_t World::submit(Owner *owner, const std::string &job, uint32_t count,
-		       uint64_t duration, uint64_t estimate, uint64_t aim,
-		       uint64_t give_up, uint64_t sent_us)
+		       uint64_t duration, uint64_t estimate, uint64_t target,
+		       uint64_t caller_timeout, uint64_t sent_us)
 {
 	ph_batch_request w = {};
 
@@ -450,20 +454,20 @@
 	w.count = count;
 	w.need = { 6800, 64, 0 };
 	w.estimate_us = estimate;
-	w.target_us = aim;
-	w.caller_timeout_us = give_up;
+	w.target_us = target;
+	w.caller_timeout_us = caller_timeout;
 	w.max_attempts = 3;
 	w.sent_us = sent_us;
 	w.first_run = 100;
-	return submit_work(owner, w, duration);
+	return submit_request(owner, w, duration);
 }
 
-void World::follow(Owner *from, Owner *to, uint64_t seq)
+void World::resubmit(Owner *from, Owner *to, uint64_t seq)
 {
 	ph_batch_request *w = static_cast<ph_batch_request *>(
 		ph_mem_default()->calloc(1, sizeof(ph_batch_request)));
 
-	*w = works[seq];
+	*w = requests[seq];
 	w->spec = ph_memdup(ph_mem_default(), "x", 1);
 	w->resumed = true;
 	for (uint32_t i = 0; i < w->count; i++)
--- a/test/pool_world.h
+++ b/test/pool_world.h
@@ -1,7 +1,8 @@
 /*
- * Executors in memory for the tests of the pool: they keep leases, tokens and
- * ends as a platform's executors do, answer after a delay, and can fail in the
- * ways that the tests name. Time is simulated; nothing is random.
+ * Simulated executors for the tests of the pool. Like a platform's executors
+ * they enforce leases, tokens and run numbers, keep ends until these are
+ * acknowledged, and answer after a delay. Tests can inject faults. Time is
+ * simulated, and nothing is random.
  */
 #ifndef PH_TEST_POOL_WORLD_H
 #define PH_TEST_POOL_WORLD_H
@@ -22,10 +23,12 @@
 {
 
 constexpr uint64_t kMs = 1000;
+/** Interval of ph_pool_tick(). */
 constexpr uint64_t kTickUs = 10 * kMs;
 constexpr uint64_t kLeaseUs = 700 * kMs;
 constexpr uint64_t kStopUs = 50 * kMs;
-constexpr uint64_t kWayUs = 200;
+/** One-way network latency. */
+constexpr uint64_t kLatencyUs = 200;
 
 struct Run {
 	std::string key;
@@ -53,27 +56,35 @@
 	uint64_t next_end = 1;
 	std::vector<Run> running;
 	std::vector<End> ends;
-	std::map<std::string, uint64_t> top_run;
+	std::map<std::string, uint64_t> highest_run;
 
-	/* Faults. */
-	std::set<int> cut_from;
+	/* Injected faults. */
+	/** Numbers of the owners whose calls don't reach this executor. */
+	std::set<int> unreachable_from;
 	bool fails_all = false;
+	/** Start commands are carried out, but their answers are lost. */
 	bool loses_start_answers = false;
-	/** Of so many calls one gets no answer and does nothing; 0: none. */
-	uint32_t loses_one_in = 0;
+	/** One call of this many is lost before it arrives; 0: none. */
+	uint32_t loses_one_call_in = 0;
+	/** Calls sent here while calls get lost; decides which are lost. */
 	uint32_t calls = 0;
-	/** Starts are carried out this much later, without an answer. */
-	uint64_t starts_late_us = 0;
+	/** Start commands are carried out this much later, and not answered; 0:
+	 * none. */
+	uint64_t start_delay_us = 0;
+	/** Factor on the run times. */
 	double slow = 1.0;
 };
 
-/** One pool decider and what it has said. */
+/** An instance that owns, or may own, the pool, and the results it sent. */
 struct Owner {
 	int number;
 	ph_pool *pool = nullptr;
 	struct World *world = nullptr;
+	/** The process is suspended: no ticks, and answers are lost. */
 	bool frozen = false;
+	/** By batch number. */
 	std::map<uint64_t, ph_result> results;
+	/** Time of the result, by batch number. */
 	std::map<uint64_t, uint64_t> result_us;
 };
 
@@ -82,37 +93,48 @@
 	std::vector<Executor> executors;
 	std::vector<Owner *> owners;
 	std::multimap<uint64_t, std::function<void()>> events;
-	/** Times that a second run of a task began beside the first. */
-	int twice = 0;
+	/** Number of times that a run began while another run of its task was
+	 * running; must stay 0. */
+	int concurrent_runs = 0;
+	/** Number of successful runs by task ("job.index"). */
 	std::map<std::string, int> done;
+	/** Number of runs started on all executors. */
 	int starts = 0;
+	/** Run time of each task, by job. */
 	std::map<std::string, uint64_t> duration_us;
+	/** Cores of each task in thousandths, by job. */
 	std::map<std::string, uint32_t> cpu_of;
 
 	World(size_t count, uint32_t cpu);
 	~World();
 
-	Owner *add_owner(const ph_scheduling_policy *policy = &ph_scheduling_slack);
-	/** Lists all executors at an owner. */
+	Owner *
+	add_owner(const ph_scheduling_policy *policy = &ph_scheduling_slack);
+	/** Sends the list of all executors to an owner. */
 	void list(Owner *owner);
+	/** Schedules what for the simulated time us. */
 	void at(uint64_t us, std::function<void()> what);
+	/** Advances the simulated time. */
 	void run_until(uint64_t us);
-	/** A batch of equal tasks; returns its handle. */
+	/** Submits a batch of identical tasks and returns its number; all times
+	 * are in microseconds. */
 	uint64_t submit(Owner *owner, const std::string &job, uint32_t count,
-			uint64_t duration, uint64_t estimate, uint64_t aim,
-			uint64_t give_up, uint64_t sent_us = 0);
-	/** Any batch, whose tasks run for duration; the work is copied. */
-	uint64_t submit_work(Owner *owner, const ph_batch_request &work,
-			     uint64_t duration);
-	/** Submits a moved batch to another owner. */
-	void follow(Owner *from, Owner *to, uint64_t seq);
+			uint64_t duration, uint64_t estimate, uint64_t target,
+			uint64_t caller_timeout, uint64_t sent_us = 0);
+	/** Submits a copy of request; its tasks run for duration. */
+	uint64_t submit_request(Owner *owner, const ph_batch_request &request,
+				uint64_t duration);
+	/** Submits a batch again, as resumed, to another owner; with the state
+	 * that "from" reported, if it did. */
+	void resubmit(Owner *from, Owner *to, uint64_t seq);
+	/** True if the owner has reported this verdict. */
 	bool ended(const Owner *owner, uint64_t seq, ph_verdict verdict) const;
 
 	Executor *find(const std::string &id);
 
       private:
 	uint64_t last_seq = 0;
-	std::map<uint64_t, ph_batch_request> works;
+	std::map<uint64_t, ph_batch_request> requests;
 
 	void step_executors();
 	friend struct Calls;
--- a/test/test_pool.cc
+++ b/test/test_pool.cc
@@ -7,10 +7,11 @@
 
 using namespace world;
 
-constexpr uint64_t kAim = 400 * kMs;
-constexpr uint64_t kGiveUp = 2000 * kMs;
+constexpr uint64_t kTarget = 400 * kMs;
+constexpr uint64_t kCallerTimeout = 2000 * kMs;
 
-Owner *calm_owner(World *w, const ph_scheduling_policy *policy = &ph_scheduling_slack)
+Owner *ready_owner(World *w,
+		   const ph_scheduling_policy *policy = &ph_scheduling_slack)
 {
 	Owner *o = w->add_owner(policy);
 
@@ -19,26 +20,27 @@
 	return o;
 }
 
-TEST(Pool, RunsABatchOnceAndTellsTheWhole)
+TEST(Pool, RunsEachTaskOnceAndReportsTheBatchDone)
 {
 	World w(4, 16000);
-	Owner *o = calm_owner(&w);
-	uint64_t seq = w.submit(o, "a", 8, 60 * kMs, 60 * kMs, kAim, kGiveUp);
+	Owner *o = ready_owner(&w);
+	uint64_t seq = w.submit(o, "a", 8, 60 * kMs, 60 * kMs, kTarget,
+				kCallerTimeout);
 
 	w.run_until(w.now_us + 300 * kMs);
 	EXPECT_TRUE(w.ended(o, seq, PH_VERDICT_DONE));
 	EXPECT_EQ(w.starts, 8);
-	EXPECT_EQ(w.twice, 0);
+	EXPECT_EQ(w.concurrent_runs, 0);
 }
 
-TEST(Pool, PacksByDeclaredCoresAndIsNeverRefusedForRoom)
+TEST(Pool, PlacesByDeclaredCoresWithoutRefusalsByExecutors)
 {
 	World w(4, 16000);
-	Owner *o = calm_owner(&w);
+	Owner *o = ready_owner(&w);
 
 	for (int i = 0; i < 20; i++)
 		w.submit(o, "j" + std::to_string(i), 3, 50 * kMs, 50 * kMs,
-			 kAim, kGiveUp);
+			 kTarget, kCallerTimeout);
 	w.run_until(w.now_us + 1000 * kMs);
 	EXPECT_EQ(ph_pool_counters(o->pool)->no_room, 0U);
 	EXPECT_EQ(w.starts, 60);
@@ -46,85 +48,88 @@
 
 /* ## Faults of executors */
 
+/** A fault that is injected into one of four executors. */
 struct FaultCase {
 	const char *what;
-	void (*strike)(World *, Executor *);
-	/** The batch still ends well within its caller's time. */
+	void (*inject)(World *, Executor *);
+	/** The batch is expected to end as done. */
 	bool served;
 };
 
 const FaultCase fault_cases[] = {
-	{ "an executor that is cut off: its tasks restart after the lapse",
-	  [](World *, Executor *x) { x->cut_from = { 0 }; }, true },
-	{ "an executor that starts anew under its name",
+	{ "an executor that is unreachable: its tasks restart when the lease "
+	  "expires",
+	  [](World *, Executor *x) { x->unreachable_from = { 0 }; }, true },
+	{ "an executor that restarts with the same id",
 	  [](World *, Executor *x) {
 		  x->started_ms++;
 		  x->running.clear();
 		  x->ends.clear();
 		  x->next_end = 1;
-		  x->top_run.clear();
+		  x->highest_run.clear();
 		  x->token = 0;
 	  },
 	  true },
-	{ "an executor that fails all that it starts",
+	{ "an executor that fails all its runs",
 	  [](World *, Executor *x) { x->fails_all = true; }, true },
 	{ "starts that are carried out without an answer",
 	  [](World *, Executor *x) { x->loses_start_answers = true; }, true },
 	{ "starts that are carried out three seconds late",
-	  [](World *, Executor *x) { x->starts_late_us = 3000 * kMs; }, true },
+	  [](World *, Executor *x) { x->start_delay_us = 3000 * kMs; }, true },
 };
 
-TEST(Pool, KeepsItsPromisesUnderFaultsOfExecutors)
+TEST(Pool, ABatchEndsAndNoTaskRunsTwiceUnderExecutorFaults)
 {
 	for (const FaultCase &c : fault_cases) {
-		for (uint64_t strike_ms = 0; strike_ms <= 90; strike_ms += 10) {
+		for (uint64_t fault_ms = 0; fault_ms <= 90; fault_ms += 10) {
 			SCOPED_TRACE(std::string(c.what) + " at " +
-				     std::to_string(strike_ms) + " ms");
+				     std::to_string(fault_ms) + " ms");
 			World w(4, 16000);
-			Owner *o = calm_owner(&w);
+			Owner *o = ready_owner(&w);
 			uint64_t t0 = w.now_us;
 			uint64_t seq;
 
-			w.at(t0 + strike_ms * kMs,
-			     [&] { c.strike(&w, &w.executors[0]); });
+			w.at(t0 + fault_ms * kMs,
+			     [&] { c.inject(&w, &w.executors[0]); });
 			w.run_until(t0 + 20 * kMs);
-			seq = w.submit(o, "a", 8, 60 * kMs, 60 * kMs, kAim,
-				       kGiveUp);
+			seq = w.submit(o, "a", 8, 60 * kMs, 60 * kMs, kTarget,
+				       kCallerTimeout);
 			w.run_until(t0 + 6000 * kMs);
-			EXPECT_EQ(w.twice, 0);
+			EXPECT_EQ(w.concurrent_runs, 0);
 			EXPECT_EQ(w.ended(o, seq, PH_VERDICT_DONE), c.served);
 		}
 	}
 }
 
-struct WayCase {
+struct TransitCase {
 	const char *what;
-	uint64_t way_us;
+	uint64_t transit_us;
 	bool known;
 	ph_verdict verdict;
 	int starts;
 };
 
-/* A batch that a cut has held up: its front has given it up, and its caller
- * may come again at another instance. */
-TEST(Pool, ABatchThatWasLongOnItsWayIsNotStarted)
+/* A network partition can delay a batch until its submitter has abandoned it,
+ * and its caller may have submitted the job to another instance. */
+TEST(Pool, ABatchThatWasLongInTransitIsNotStarted)
 {
-	const WayCase cases[] = {
-		{ "a short way", 5 * kMs, true, PH_VERDICT_DONE, 4 },
+	const TransitCase cases[] = {
+		{ "short transit", 5 * kMs, true, PH_VERDICT_DONE, 4 },
 		{ "a busy receiver", 200 * kMs, true, PH_VERDICT_DONE, 4 },
-		{ "held up by a cut", 2000 * kMs, true, PH_VERDICT_NOT_RUN, 0 },
-		{ "of unknown age", 0, false, PH_VERDICT_DONE, 4 },
+		{ "delayed by a partition", 2000 * kMs, true,
+		  PH_VERDICT_NOT_RUN, 0 },
+		{ "unknown time in transit", 0, false, PH_VERDICT_DONE, 4 },
 	};
 
-	for (const WayCase &c : cases) {
+	for (const TransitCase &c : cases) {
 		SCOPED_TRACE(c.what);
 		World w(4, 16000);
 
 		w.now_us += 10000 * kMs;
-		Owner *o = calm_owner(&w);
-		uint64_t seq =
-			w.submit(o, "a", 4, 60 * kMs, 60 * kMs, kAim, kGiveUp,
-				 c.known ? w.now_us - c.way_us : 0);
+		Owner *o = ready_owner(&w);
+		uint64_t seq = w.submit(o, "a", 4, 60 * kMs, 60 * kMs, kTarget,
+					kCallerTimeout,
+					c.known ? w.now_us - c.transit_us : 0);
 
 		w.run_until(w.now_us + 300 * kMs);
 		EXPECT_TRUE(w.ended(o, seq, c.verdict));
@@ -132,61 +137,66 @@
 	}
 }
 
-/* A batch and its cancellation may overtake each other on two links. */
-TEST(Pool, ACancelledBatchThatComesLaterIsNotStarted)
+/* A batch and its cancellation may travel over two connections, so the
+ * cancellation can arrive first. */
+TEST(Pool, ABatchThatArrivesAfterItsCancellationIsNotStarted)
 {
 	World w(4, 16000);
-	Owner *o = calm_owner(&w);
+	Owner *o = ready_owner(&w);
 
 	ph_pool_cancel(o->pool, w.now_us, "front", 1);
-	ASSERT_EQ(w.submit(o, "a", 4, 60 * kMs, 60 * kMs, kAim, kGiveUp), 1U);
+	ASSERT_EQ(w.submit(o, "a", 4, 60 * kMs, 60 * kMs, kTarget,
+			   kCallerTimeout),
+		  1U);
 	w.run_until(w.now_us + 300 * kMs);
 	EXPECT_EQ(w.starts, 0);
-	w.submit(o, "b", 4, 60 * kMs, 60 * kMs, kAim, kGiveUp);
+	w.submit(o, "b", 4, 60 * kMs, 60 * kMs, kTarget, kCallerTimeout);
 	w.run_until(w.now_us + 300 * kMs);
 	EXPECT_EQ(w.starts, 4);
 }
 
-/* A wave of cancellations overtakes its batches: however many, none starts. */
-TEST(Pool, AWaveOfCancellationsIsRememberedWhole)
+/* Many cancellations arrive before their batches: none of the batches starts.
+ */
+TEST(Pool, ManyCancellationsAreAllRemembered)
 {
 	for (int jobs : { 64, 65, 400 }) {
 		SCOPED_TRACE(jobs);
 		World w(4, 16000);
-		Owner *o = calm_owner(&w);
-		ph_batch_request work = {};
+		Owner *o = ready_owner(&w);
+		ph_batch_request request = {};
 		int starts;
 
-		snprintf(work.service, sizeof(work.service), "desk");
-		work.count = 1;
-		work.need = { 1000, 1, 0 };
-		work.estimate_us = 50 * kMs;
-		work.caller_timeout_us = 1500 * kMs;
-		work.max_attempts = 1;
+		snprintf(request.service, sizeof(request.service), "desk");
+		request.count = 1;
+		request.need = { 1000, 1, 0 };
+		request.estimate_us = 50 * kMs;
+		request.caller_timeout_us = 1500 * kMs;
+		request.max_attempts = 1;
 		for (int i = 0; i < jobs; i++)
 			ph_pool_cancel(o->pool, w.now_us, "n1",
 				       1000 + (uint64_t)i);
 		w.run_until(w.now_us + 200 * kMs);
 		starts = w.starts;
 		for (int i = 0; i < jobs; i++) {
-			snprintf(work.job, sizeof(work.job), "late%d", i);
-			ph_pool_submit(
-				o->pool, w.now_us, "n1", 1000 + (uint64_t)i,
-				ph_batch_request_copy(ph_mem_default(), &work));
+			snprintf(request.job, sizeof(request.job), "late%d", i);
+			ph_pool_submit(o->pool, w.now_us, "n1",
+				       1000 + (uint64_t)i,
+				       ph_batch_request_copy(ph_mem_default(),
+							     &request));
 		}
 		w.run_until(w.now_us + 200 * kMs);
 		EXPECT_EQ(w.starts, starts);
 	}
 }
 
-/* An executor crashes and starts again under its name while orders are on their
- * way to it: the new life carries them out before a look tells of it. */
-TEST(Pool, AnOrderThatReachesTheNextLifeIsNotForgotten)
+/* An executor restarts with the same id while start commands are under way: the
+ * new incarnation carries them out before a poll shows that it restarted. */
+TEST(Pool, AStartThatReachesARestartedExecutorIsKept)
 {
-	for (uint64_t before_us : { 0 * kMs, 5 * kMs, 60 * kMs }) {
-		SCOPED_TRACE(before_us);
+	for (uint64_t submit_after_us : { 0 * kMs, 5 * kMs, 60 * kMs }) {
+		SCOPED_TRACE(submit_after_us);
 		World w(1, 16000);
-		Owner *o = calm_owner(&w);
+		Owner *o = ready_owner(&w);
 		Executor *x = &w.executors[0];
 		uint64_t seq;
 
@@ -195,21 +205,21 @@
 		x->token = 0;
 		x->next_end = 1;
 		x->ends.clear();
-		x->top_run.clear();
-		w.run_until(w.now_us + before_us);
+		x->highest_run.clear();
+		w.run_until(w.now_us + submit_after_us);
 		seq = w.submit(o, "j", 2, 400 * kMs, 400 * kMs, 800 * kMs,
 			       4000 * kMs);
 		w.run_until(w.now_us + 2000 * kMs);
 		EXPECT_TRUE(w.ended(o, seq, PH_VERDICT_DONE));
-		EXPECT_EQ(w.twice, 0);
+		EXPECT_EQ(w.concurrent_runs, 0);
 		EXPECT_EQ(w.starts, 2);
 	}
 }
 
-TEST(Pool, StartsNothingOnAnExecutorThatLeaves)
+TEST(Pool, StartsNothingOnADrainingExecutor)
 {
 	World w(1, 16000);
-	Owner *o = calm_owner(&w);
+	Owner *o = ready_owner(&w);
 	ph_executor_info info = {};
 
 	snprintf(info.id, sizeof(info.id), "i-0");
@@ -218,38 +228,39 @@
 	info.capacity = { 16000, 65536, 0 };
 	info.draining = true;
 	ph_pool_update(o->pool, w.now_us, &info, 1);
-	w.submit(o, "a", 1, 60 * kMs, 60 * kMs, kAim, kGiveUp);
+	w.submit(o, "a", 1, 60 * kMs, 60 * kMs, kTarget, kCallerTimeout);
 	w.run_until(w.now_us + 500 * kMs);
 	EXPECT_EQ(w.starts, 0);
 }
 
-TEST(Pool, AFailingExecutorDoesNotAttractTheWork)
+TEST(Pool, AFailingExecutorIsAvoided)
 {
 	World w(8, 16000);
-	Owner *o = calm_owner(&w);
+	Owner *o = ready_owner(&w);
 
 	w.executors[0].fails_all = true;
 	for (int i = 0; i < 60; i++) {
 		w.submit(o, "j" + std::to_string(i), 4, 60 * kMs, 60 * kMs,
-			 kAim, kGiveUp);
+			 kTarget, kCallerTimeout);
 		w.run_until(w.now_us + 20 * kMs);
 	}
 	w.run_until(w.now_us + 1000 * kMs);
-	/* An eighth of 240 runs would be 30 without avoidance, and more for
-	 * its room is always free. */
+	/* Without back-off an eighth of 240 runs, 30, would fail; more, as its
+	 * capacity is always free. */
 	EXPECT_LT(ph_pool_counters(o->pool)->failed_runs, 12U);
 }
 
-/* Submits a job of four short tasks every 30 ms and waits until all have
- * ended; gives the time of each submission. */
-std::map<uint64_t, uint64_t> play_steady(World *w, Owner *o, int jobs,
-					 uint64_t aim)
+/* Submits a job of four short tasks every 30 ms and waits until all have ended.
+ * Returns the time of submission by batch. */
+std::map<uint64_t, uint64_t> run_steady_load(World *w, Owner *o, int jobs,
+					     uint64_t target)
 {
 	std::map<uint64_t, uint64_t> sent;
 
 	for (int i = 0; i < jobs; i++) {
-		uint64_t seq = w->submit(o, "j" + std::to_string(i), 4,
-					 60 * kMs, 60 * kMs, aim, kGiveUp);
+		uint64_t seq =
+			w->submit(o, "j" + std::to_string(i), 4, 60 * kMs,
+				  60 * kMs, target, kCallerTimeout);
 
 		sent[seq] = w->now_us;
 		w->run_until(w->now_us + 30 * kMs);
@@ -260,150 +271,157 @@
 
 struct SlowCase {
 	const char *what;
+	/** Factor on the run times of one executor. */
 	double slow;
-	/** Most jobs of 100 that may miss their aim. */
+	/** Maximum number of jobs out of 100 that miss their latency target. */
 	int late_max;
 };
 
-/* One of eight executors crawls or stands still under steady load, while its
- * looks are answered: its tasks go elsewhere, and it gets no new ones. */
-TEST(PoolLoad, ASlowExecutorHoldsUpFewJobs)
+/* Under steady load one of eight executors is slow or makes no progress, while
+ * it answers polls: its tasks are moved and it gets no new ones. */
+TEST(PoolLoad, ASlowExecutorDelaysFewJobs)
 {
 	const SlowCase cases[] = {
-		{ "all sound", 1.0, 0 },
+		{ "as fast as the others", 1.0, 0 },
 		{ "seven times as slow", 7.0, 10 },
-		{ "tasks stand still", 10000.0, 10 },
+		{ "tasks make no progress", 10000.0, 10 },
 	};
 
 	for (const SlowCase &c : cases) {
 		SCOPED_TRACE(c.what);
 		World w(8, 16000);
-		Owner *o = calm_owner(&w);
-		uint64_t aim = 160 * kMs;
+		Owner *o = ready_owner(&w);
+		uint64_t target = 160 * kMs;
 		int late = 0;
 		std::map<uint64_t, uint64_t> sent;
 
-		/* The one that is filled first. */
+		/* Placement fills this executor first. */
 		w.executors.back().slow = c.slow;
-		sent = play_steady(&w, o, 100, aim);
+		sent = run_steady_load(&w, o, 100, target);
 		for (const auto &it : sent) {
 			EXPECT_TRUE(w.ended(o, it.first, PH_VERDICT_DONE));
-			late += o->result_us[it.first] > it.second + aim;
+			late += o->result_us[it.first] > it.second + target;
 		}
 		EXPECT_LE(late, c.late_max);
-		EXPECT_EQ(w.twice, 0);
+		EXPECT_EQ(w.concurrent_runs, 0);
 	}
 }
 
-/* Over half of a small pool fails all that it starts: those are to blame, and
- * few jobs run out of attempts. */
+/* Seven of twelve executors fail all their runs. Widespread loss of calls
+ * doesn't apply to failed runs, so the executors are avoided and few jobs run
+ * out of attempts. */
 TEST(PoolLoad, ManyFailingExecutorsAreStillAvoided)
 {
 	World w(12, 16000);
-	Owner *o = calm_owner(&w);
+	Owner *o = ready_owner(&w);
 	std::map<uint64_t, uint64_t> sent;
 	int failed = 0;
 
 	for (size_t i = 0; i < 7; i++)
 		w.executors[i].fails_all = true;
-	sent = play_steady(&w, o, 200, 160 * kMs);
+	sent = run_steady_load(&w, o, 200, 160 * kMs);
 	for (const auto &it : sent)
 		failed += w.ended(o, it.first, PH_VERDICT_FAILED);
-	/* Three attempts each, at seven of twelve: 20% of 800 tasks if none
-	 * were avoided, over half of the jobs. */
+	/* Without avoidance all three attempts would fail for 20% of the 800
+	 * tasks ((7/12)^3), which fails over half of the jobs. */
 	EXPECT_LE(failed, 10);
 }
 
 struct LossCase {
 	const char *what;
-	uint32_t loses_one_in;
-	/** Least of 200 jobs that are served within three aims. */
+	/** 0: no calls are lost. */
+	uint32_t loses_one_call_in;
+	/** Minimum number of jobs out of 200 that are done within three times
+	 * their latency target. */
 	int useful_min;
 };
 
-/* Calls to all executors get lost by the way, as when orders are carried out
- * late: no executor is to blame, and what has ended is seen soon. */
-TEST(PoolLoad, LostCallsToAllExecutorsHoldUpFewJobs)
+/* The network loses calls to all executors, or starts are carried out so late
+ * that they seem lost: no executor is avoided for that, and short polls report
+ * ended runs soon. */
+TEST(PoolLoad, LostCallsToAllExecutorsDelayFewJobs)
 {
 	const LossCase cases[] = {
 		{ "none", 0, 200 },
 		{ "one in twenty", 20, 190 },
-		/* As many as calls that arrive. */
+		/* At least the share of calls that arrive: 3/4 of the jobs. */
 		{ "one in four", 4, 150 },
 	};
 
 	for (const LossCase &c : cases) {
 		SCOPED_TRACE(c.what);
 		World w(12, 16000);
-		Owner *o = calm_owner(&w);
-		uint64_t aim = 160 * kMs;
+		Owner *o = ready_owner(&w);
+		uint64_t target = 160 * kMs;
 		int useful = 0;
 		std::map<uint64_t, uint64_t> sent;
 
 		for (size_t i = 0; i < w.executors.size(); i++) {
-			w.executors[i].loses_one_in = c.loses_one_in;
+			w.executors[i].loses_one_call_in = c.loses_one_call_in;
 			w.executors[i].calls = (uint32_t)i * 1000;
 		}
-		sent = play_steady(&w, o, 200, aim);
+		sent = run_steady_load(&w, o, 200, target);
 		for (const auto &it : sent)
 			useful += w.ended(o, it.first, PH_VERDICT_DONE) &&
 				  o->result_us[it.first] <=
-					  it.second + PH_LATE_TARGETS * aim;
+					  it.second + PH_LATE_TARGETS * target;
 		EXPECT_GE(useful, c.useful_min);
-		EXPECT_EQ(w.twice, 0);
+		EXPECT_EQ(w.concurrent_runs, 0);
 	}
 }
 
-struct UselessCase {
+/** A job that finds no capacity. */
+struct LateCase {
 	const char *what;
 	uint64_t estimate;
-	uint64_t aim;
-	/** It is told by then, and not before. */
-	uint64_t told_after;
+	uint64_t target;
+	/** Time from submission to refusal, within 20 ms. */
+	uint64_t refused_after;
 };
 
-/* All room is taken for long: a job that waits is refused as soon as its end
- * would be of no use, not when its patient caller gives up. */
-TEST(PoolLoad, WhatWouldEndTooLateIsRefusedThen)
+/* All capacity is taken for long: a waiting job is refused as soon as its
+ * result would come too late to be of use, well before its caller's timeout. */
+TEST(PoolLoad, AJobIsRefusedOnceItWouldEndTooLate)
 {
-	const UselessCase cases[] = {
+	const LateCase cases[] = {
 		{ "short", 60 * kMs, 160 * kMs, 420 * kMs },
 		{ "of middle length", 200 * kMs, 380 * kMs, 940 * kMs },
 	};
 
-	for (const UselessCase &c : cases) {
+	for (const LateCase &c : cases) {
 		SCOPED_TRACE(c.what);
 		World w(2, 16000);
-		Owner *o = calm_owner(&w);
+		Owner *o = ready_owner(&w);
 		uint64_t t0;
 		uint64_t seq;
 
 		w.submit(o, "long", 4, 5000 * kMs, 5000 * kMs, 8000 * kMs,
 			 30000 * kMs);
 		t0 = w.now_us;
-		seq = w.submit(o, "a", 2, c.estimate, c.estimate, c.aim,
+		seq = w.submit(o, "a", 2, c.estimate, c.estimate, c.target,
 			       8000 * kMs);
-		w.run_until(t0 + c.told_after - 20 * kMs);
+		w.run_until(t0 + c.refused_after - 20 * kMs);
 		EXPECT_EQ(o->results.count(seq), 0U);
-		w.run_until(t0 + c.told_after + 20 * kMs);
+		w.run_until(t0 + c.refused_after + 20 * kMs);
 		EXPECT_TRUE(w.ended(o, seq, PH_VERDICT_NOT_RUN));
 		EXPECT_GT(o->results[seq].retry_after_us, 0U);
 		EXPECT_EQ(w.starts, 4);
 	}
 }
 
-/* All callers come at once, as after a loss of all instances: what can't start
- * in time even if everything goes well is refused at once, so that it may be
- * served elsewhere; the rest is served as before. */
-TEST(PoolLoad, WhatSurelyFindsNoRoomIsRefusedAtOnce)
+/* All callers submit at once, as after an outage of all instances. Jobs that
+ * can't start in time even in the best case are refused at once, so that
+ * another pool may serve them; the others are served. */
+TEST(PoolLoad, JobsThatCannotStartInTimeAreRefusedAtOnce)
 {
 	constexpr int kJobs = 60;
 	constexpr uint64_t kRunUs = 200 * kMs;
-	constexpr uint64_t kAimUs = 380 * kMs;
-	/* Two jobs run at a time; one that starts later is of no use. */
-	constexpr int kCanStart = 2 * (3 * kAimUs - kRunUs) / kRunUs + 2;
+	constexpr uint64_t kTargetUs = 380 * kMs;
+	/* Two jobs run at a time; the result of a job that starts later than
+	 * these is of no use. */
+	constexpr int kStartable = 2 * (3 * kTargetUs - kRunUs) / kRunUs + 2;
 	World w(2, 16000);
-	Owner *o = calm_owner(&w);
+	Owner *o = ready_owner(&w);
 	uint64_t t0 = w.now_us;
 	std::vector<uint64_t> seqs;
 	int refused_at_once = 0;
@@ -411,7 +429,7 @@
 
 	for (int i = 0; i < kJobs; i++)
 		seqs.push_back(w.submit(o, "j" + std::to_string(i), 2, kRunUs,
-					kRunUs, kAimUs, 8000 * kMs));
+					kRunUs, kTargetUs, 8000 * kMs));
 	w.run_until(t0 + 3000 * kMs);
 	for (uint64_t seq : seqs) {
 		ASSERT_EQ(o->results.count(seq), 1U);
@@ -421,32 +439,32 @@
 		refused_at_once += o->result_us[seq] <= t0 + 20 * kMs;
 		EXPECT_GT(o->results[seq].retry_after_us, 0U);
 	}
-	EXPECT_GE(done, kCanStart - 2);
-	/* Executors may be fast and pack better than these: up to as many
-	 * again are kept waiting. */
-	EXPECT_GE(refused_at_once, kJobs - 2 * kCanStart);
+	EXPECT_GE(done, kStartable - 2);
+	/* The pool allows for faster executors and a tighter packing than in
+	 * this test, so up to as many jobs again may be kept waiting. */
+	EXPECT_GE(refused_at_once, kJobs - 2 * kStartable);
 }
 
-/* A service whose work piles up beside one that has but little waiting: what
- * waits for other executors says nothing of when these are free. */
-TEST(PoolLoad, TheBacklogOfOneServiceRefusesNothingOfAnother)
+/* One service has a long backlog, another a short one. Tasks that wait for the
+ * executors of the first must not count as ahead of jobs of the second. */
+TEST(PoolLoad, TheBacklogOfOneServiceCausesNoRefusalsInAnother)
 {
 	World w(2, 16000);
-	Owner *o = calm_owner(&w);
-	ph_batch_request work = {};
+	Owner *o = ready_owner(&w);
+	ph_batch_request request = {};
 	uint64_t seq;
 
-	/* The other service's work finds no executor at all here. */
-	snprintf(work.service, sizeof(work.service), "other");
-	work.count = 50;
-	work.need = { 8000, 1, 0 };
-	work.estimate_us = 2000 * kMs;
-	work.target_us = 2100 * kMs;
-	work.caller_timeout_us = 60000 * kMs;
-	work.max_attempts = 1;
+	/* The other service has no executors in this pool. */
+	snprintf(request.service, sizeof(request.service), "other");
+	request.count = 50;
+	request.need = { 8000, 1, 0 };
+	request.estimate_us = 2000 * kMs;
+	request.target_us = 2100 * kMs;
+	request.caller_timeout_us = 60000 * kMs;
+	request.max_attempts = 1;
 	for (int i = 0; i < 20; i++) {
-		snprintf(work.job, sizeof(work.job), "other%d", i);
-		w.submit_work(o, work, 2000 * kMs);
+		snprintf(request.job, sizeof(request.job), "other%d", i);
+		w.submit_request(o, request, 2000 * kMs);
 	}
 	w.submit(o, "first", 4, 300 * kMs, 300 * kMs, 600 * kMs, 8000 * kMs);
 	seq = w.submit(o, "second", 4, 300 * kMs, 300 * kMs, 600 * kMs,
@@ -459,19 +477,21 @@
 
 struct ChangeCase {
 	const char *what;
-	/** The earlier owner: hears of it, dies, or is frozen and wakes. */
-	bool told;
+	/** The earlier owner releases the pool; else it stops responding. */
+	bool informed;
+	/** The earlier owner's process resumes later. */
 	bool wakes;
-	/** Cut off from the next owner: an executor, for a time. */
-	bool cut_one;
+	/** The new owner can't reach one executor for a while. */
+	bool one_unreachable;
 };
 
 const ChangeCase change_cases[] = {
 	{ "a planned hand-over", true, false, false },
 	{ "the owner dies", false, false, false },
-	{ "the owner is frozen and wakes", false, true, false },
-	{ "a planned hand-over beside a cut-off executor", true, false, true },
-	{ "the owner dies beside a cut-off executor", false, false, true },
+	{ "the owner is suspended and resumes", false, true, false },
+	{ "a planned hand-over with an unreachable executor", true, false,
+	  true },
+	{ "the owner dies with an unreachable executor", false, false, true },
 };
 
 TEST(Pool, NoTaskRunsTwiceAtOnceWhenTheOwnerChanges)
@@ -481,58 +501,59 @@
 			SCOPED_TRACE(std::string(c.what) + " at step " +
 				     std::to_string(step));
 			World w(4, 16000);
-			Owner *a = calm_owner(&w);
+			Owner *a = ready_owner(&w);
 			Owner *b = w.add_owner();
 			uint64_t t0 = w.now_us;
 			uint64_t seq = w.submit(a, "a", 8, 150 * kMs, 150 * kMs,
-						kAim, 5000 * kMs);
+						kTarget, 5000 * kMs);
 
 			w.run_until(t0 + step * 10 * kMs);
-			if (c.cut_one)
-				w.executors[1].cut_from.insert(b->number);
-			if (!c.told)
+			if (c.one_unreachable)
+				w.executors[1].unreachable_from.insert(
+					b->number);
+			if (!c.informed)
 				a->frozen = true;
 			ph_pool_acquire(b->pool, w.now_us, 2000);
 			w.run_until(w.now_us + 20 * kMs);
-			if (c.told)
+			if (c.informed)
 				ph_pool_release(a->pool, w.now_us);
 			if (!w.ended(a, seq, PH_VERDICT_DONE))
-				w.follow(a, b, seq);
+				w.resubmit(a, b, seq);
 			w.run_until(w.now_us + 1500 * kMs);
-			w.executors[1].cut_from.clear();
+			w.executors[1].unreachable_from.clear();
 			if (c.wakes)
 				a->frozen = false;
 			w.run_until(w.now_us + 2500 * kMs);
-			EXPECT_EQ(w.twice, 0);
+			EXPECT_EQ(w.concurrent_runs, 0);
 			EXPECT_TRUE(w.ended(a, seq, PH_VERDICT_DONE) ||
 				    w.ended(b, seq, PH_VERDICT_DONE));
 		}
 	}
 }
 
-TEST(Pool, AHandOverInterruptsNothingThatRuns)
+TEST(Pool, AHandOverInterruptsNoRuns)
 {
 	World w(4, 16000);
-	Owner *a = calm_owner(&w);
+	Owner *a = ready_owner(&w);
 	Owner *b = w.add_owner();
-	uint64_t seq =
-		w.submit(a, "a", 8, 500 * kMs, 500 * kMs, 900 * kMs, kGiveUp);
+	uint64_t seq = w.submit(a, "a", 8, 500 * kMs, 500 * kMs, 900 * kMs,
+				kCallerTimeout);
 
 	w.run_until(w.now_us + 100 * kMs);
 	ph_pool_acquire(b->pool, w.now_us, 2000);
 	w.run_until(w.now_us + 20 * kMs);
 	ph_pool_release(a->pool, w.now_us);
-	w.follow(a, b, seq);
+	w.resubmit(a, b, seq);
 	w.run_until(w.now_us + 1000 * kMs);
 	EXPECT_TRUE(w.ended(b, seq, PH_VERDICT_DONE));
 	EXPECT_EQ(w.starts, 8);
 	EXPECT_EQ(ph_pool_counters(b->pool)->adopted, 8U);
 }
 
-TEST(Pool, WhatNobodyClaimsIsStoppedBeforeItsCallerReturns)
+TEST(Pool, UnclaimedRunsAreStoppedBeforeTheCallerRetries)
 {
 	World w(2, 16000);
-	Owner *a = calm_owner(&w);
+	Owner *a = ready_owner(&w);
 	Owner *b = w.add_owner();
 	uint64_t t0;
 
@@ -546,15 +567,15 @@
 		EXPECT_TRUE(x.running.empty());
 }
 
-TEST(Pool, ARefusedTokenStartsNothingMore)
+TEST(Pool, NoTaskStartsAfterARefusedToken)
 {
 	World w(2, 16000);
-	Owner *a = calm_owner(&w);
+	Owner *a = ready_owner(&w);
 
 	w.executors[0].token = 5000;
 	w.run_until(w.now_us + 300 * kMs);
 	ASSERT_TRUE(ph_pool_fenced(a->pool));
-	w.submit(a, "a", 2, 60 * kMs, 60 * kMs, kAim, kGiveUp);
+	w.submit(a, "a", 2, 60 * kMs, 60 * kMs, kTarget, kCallerTimeout);
 	w.run_until(w.now_us + 300 * kMs);
 	EXPECT_EQ(w.starts, 0);
 	ph_pool_acquire(a->pool, w.now_us, 6000);
@@ -562,10 +583,10 @@
 	EXPECT_EQ(w.starts, 2);
 }
 
-TEST(Pool, ASilentInstancesBatchesAreStopped)
+TEST(Pool, BatchesOfALostSubmitterAreStopped)
 {
 	World w(2, 16000);
-	Owner *a = calm_owner(&w);
+	Owner *a = ready_owner(&w);
 	uint64_t seq = w.submit(a, "a", 4, 900 * kMs, 900 * kMs, 1500 * kMs,
 				3000 * kMs);
 
@@ -579,34 +600,35 @@
 
 /* ## Load */
 
-struct Served {
-	int in_aim;
+/** Numbers of jobs. */
+struct BurstResult {
+	int in_target;
 	int done;
 	int not_run;
 };
 
-/* A burst of wide short jobs on top of long ones: over capacity for a while,
- * as when many users come at once. */
-Served play_burst(const ph_scheduling_policy *policy)
+/* Runs a load that exceeds the capacity for a while, as when many users submit
+ * at once: short jobs of many tasks, and some long jobs. */
+BurstResult run_burst(const ph_scheduling_policy *policy)
 {
 	World w(8, 16000);
-	Owner *o = calm_owner(&w, policy);
+	Owner *o = ready_owner(&w, policy);
 	uint64_t t0 = w.now_us;
 	std::map<uint64_t, uint64_t> sent;
-	std::map<uint64_t, uint64_t> aims;
-	Served s = {};
+	std::map<uint64_t, uint64_t> targets;
+	BurstResult s = {};
 
 	for (int i = 0; i < 200; i++) {
 		bool is_long = i % 8 == 0;
 		uint64_t d = (is_long ? 900 : 60) * kMs;
-		uint64_t aim = d * 16 / 10 + 60 * kMs;
+		uint64_t target = d * 16 / 10 + 60 * kMs;
 		uint64_t seq;
 
 		w.run_until(t0 + (uint64_t)i * 20 * kMs);
 		seq = w.submit(o, "j" + std::to_string(i), is_long ? 2 : 6, d,
-			       d, aim, aim + 1500 * kMs);
+			       d, target, target + 1500 * kMs);
 		sent[seq] = w.now_us;
-		aims[seq] = aim;
+		targets[seq] = target;
 	}
 	w.run_until(w.now_us + 5000 * kMs);
 	for (const auto &it : sent) {
@@ -614,27 +636,27 @@
 
 		s.done += done;
 		s.not_run += w.ended(o, it.first, PH_VERDICT_NOT_RUN);
-		s.in_aim += done && o->result_us[it.first] <=
-					    it.second + aims[it.first];
+		s.in_target += done && o->result_us[it.first] <=
+					       it.second + targets[it.first];
 	}
 	return s;
 }
 
-TEST(PoolLoad, ABurstIsServedByLatestSafeStartNotByArrival)
+TEST(PoolLoad, InABurstSlackOrderMeetsMoreTargetsThanFifo)
 {
-	Served fifo = play_burst(&ph_scheduling_fifo);
-	Served slack = play_burst(&ph_scheduling_slack);
+	BurstResult fifo = run_burst(&ph_scheduling_fifo);
+	BurstResult slack = run_burst(&ph_scheduling_slack);
 
-	RecordProperty("fifo_in_aim", fifo.in_aim);
-	RecordProperty("slack_in_aim", slack.in_aim);
-	EXPECT_GT(slack.in_aim, fifo.in_aim);
+	RecordProperty("fifo_in_target", fifo.in_target);
+	RecordProperty("slack_in_target", slack.in_target);
+	EXPECT_GT(slack.in_target, fifo.in_target);
 	EXPECT_GE(slack.done + slack.not_run, fifo.done + fifo.not_run);
 }
 
-TEST(PoolLoad, WhatCannotBeServedIsRefusedInTimeAndTruly)
+TEST(PoolLoad, AJobWithoutCapacityIsRefusedInTimeAndNeverRuns)
 {
 	World w(1, 16000);
-	Owner *o = calm_owner(&w);
+	Owner *o = ready_owner(&w);
 	uint64_t t0 = w.now_us;
 	uint64_t late;
 
--- a/test/test_routing.cc
+++ b/test/test_routing.cc
@@ -19,7 +19,7 @@
 	const char *route;
 };
 
-TEST(Routing, HostAndLongestPrefixSelect)
+TEST(Routing, HostAndLongestPrefixSelectTheRoute)
 {
 	ph_route routes[3] = {};
 	ph_routing routing = { nullptr, 1, 3, routes };
@@ -60,7 +60,7 @@
 	uint32_t bucket;
 };
 
-TEST(Histogram, TimesFallIntoTheBucketBelowTheirBound)
+TEST(Histogram, ATimeFallsIntoTheFirstBucketWithABoundNotBelowIt)
 {
 	const BucketCase cases[] = {
 		{ 0, 0 },      { 1000, 0 },	{ 1001, 1 },
@@ -85,7 +85,7 @@
 	uint32_t shards;
 };
 
-TEST(Shard, CountsGrowInStepsAndNeverFall)
+TEST(PoolShard, CountsGrowInStepsAndNeverFall)
 {
 	const ShardCase cases[] = {
 		{ 0, 16, 1 },  { 1, 20, 1 },  { 1, 48, 1 }, { 1, 49, 2 },
@@ -98,7 +98,7 @@
 			<< c.before << " " << c.executors;
 }
 
-TEST(Shard, OneMoreShardMovesOnlyWhatGoesToIt)
+TEST(PoolShard, AddingAShardMovesOnlyTheExecutorsItGets)
 {
 	std::map<uint32_t, int> sizes;
 
@@ -124,7 +124,7 @@
 	const char *name;
 };
 
-TEST(Shard, NamesTellDomainAndNumber)
+TEST(PoolShard, NamesHoldDomainAndNumber)
 {
 	const NameCase cases[] = {
 		{ "north", 0, "north" },
