--- a/src/pool.c
+++ b/src/pool.c
@@ -13,7 +13,7 @@
 #define MAX_WAIT_PERCENT 45U
 /* Lower bound of actual run times in percent of the declared ones: some
  * executors are faster than others. */
-#define MIN_WAIT_PERCENT 75U
+#define MIN_RUN_TIME_PERCENT 75U
 /* Interval of placement rounds without a change of state: a start may become
  * possible by time alone, as when a back-off ends. */
 #define PLACE_EVERY_US 10000U
@@ -337,7 +337,7 @@
 {
 	if (!b->usable_milli)
 		return 0;
-	return b->ahead_milli_us * MIN_WAIT_PERCENT / 100 / b->usable_milli;
+	return b->ahead_milli_us * MIN_RUN_TIME_PERCENT / 100 / b->usable_milli;
 }
 
 static bool batch_overdue(const struct ph_batch *b, uint64_t now_us)
--- a/src/pool.h
+++ b/src/pool.h
@@ -56,6 +56,7 @@
 	void *ctx;
 };
 
+/** Copies the options; mem, policy, sink and ctx must outlive the pool. */
 struct ph_pool *ph_pool_new(const struct ph_pool_options *options);
 void ph_pool_free(struct ph_pool *pool);
 
@@ -100,6 +101,8 @@
 void ph_pool_submitter_lost(struct ph_pool *pool, uint64_t now_us,
 			    const char *submitter);
 
+/** The three functions below take the outcome of a call that the sink was given
+ * with this call_id; reply and what it refers to are not kept. */
 void ph_pool_poll_done(struct ph_pool *pool, uint64_t now_us, uint64_t call_id,
 		       const struct ph_poll_reply *reply);
 void ph_pool_start_done(struct ph_pool *pool, uint64_t now_us, uint64_t call_id,
@@ -107,7 +110,7 @@
 void ph_pool_stop_done(struct ph_pool *pool, uint64_t now_us, uint64_t call_id,
 		       const struct ph_run_command_reply *reply);
 
-/** Handles time-outs, lease renewals and starts; call at least every 20 ms. */
+/** Handles timeouts, lease renewals and starts; call at least every 20 ms. */
 void ph_pool_tick(struct ph_pool *pool, uint64_t now_us);
 
 /** Load figures by which other instances choose a pool for a job. */
@@ -121,6 +124,7 @@
 	uint32_t batches;
 };
 
+/** Computes the pool's current load. */
 void ph_pool_measure(const struct ph_pool *pool, uint64_t now_us,
 		     struct ph_pool_load *load);
 
--- a/src/pool_impl.h
+++ b/src/pool_impl.h
@@ -85,8 +85,8 @@
 	struct ph_batch *batch;
 	/** When its start was sent, or when a poll first reported it. */
 	uint64_t created_us;
-	/** When the latest start or stop command was acknowledged; 0: not yet.
-	 */
+	/** When the latest command was acknowledged, or a poll first reported
+	 * the start; 0: neither yet, or a claimed run. */
 	uint64_t acked_us;
 	uint64_t stop_sent_us;
 	bool stop_pending;
@@ -123,7 +123,9 @@
 	/** Id of the poll under way; 0: none. */
 	uint64_t poll_call;
 	uint64_t poll_sent_us;
+	/** Time of the last successful poll. */
 	uint64_t poll_ok_us;
+	/** Time from which the next poll may be sent. */
 	uint64_t next_poll_us;
 	/** Consecutive polls without success. */
 	uint32_t poll_failures;
@@ -190,7 +192,7 @@
 	struct ph_cancelled *cancelled;
 	struct ph_pool_counters counters;
 	/** Smoothed time from a run command to its answer; a missing answer
-	 * counts with part of the time-out. */
+	 * counts with part of the timeout. */
 	uint64_t call_us;
 	/** Smoothed time to the answer of the commands that were answered. */
 	uint64_t answered_call_us;
@@ -239,7 +241,7 @@
 		  struct ph_batch *batch, uint32_t index, uint64_t now_us);
 /** Detaches a run from its batch and stops it. */
 void ph_run_abandon(struct ph_pool *pool, struct ph_run *run, uint64_t now_us);
-/** Time-out of a call; without an answer until then its outcome is unknown. */
+/** Timeout of a call; without an answer until then its outcome is unknown. */
 uint64_t ph_pool_timeout_us(const struct ph_pool *pool);
 /** Lease end to send now, on the executor's clock; 0 if that clock is unknown.
  */
--- a/src/pool_lease.c
+++ b/src/pool_lease.c
@@ -20,15 +20,16 @@
 #define AVOID_US 250000U
 #define AVOID_MAX_US 4000000U
 #define AVOID_SHIFT_MAX 4U
-/* Added to a task's run number if an executor has seen it or a higher one. */
+/* Added to a task's run number after an executor refused it, as it had seen
+ * this number or a higher one. */
 #define OLD_RUN_STEP 16U
-/* Time-out of a call: a multiple of the usual time to the answer, as a busy or
- * slow instance sees an answer late, plus several turns of the control thread.
- */
+/* Timeout of a call: a multiple of the usual time to the answer, as a busy or
+ * slow instance processes answers late, plus several iterations of the control
+ * thread's loop. */
 #define TIMEOUT_FACTOR 4U
 #define TIMEOUT_EXTRA_US 50000U
-/* An unanswered call counts as one that took this part of the time-out: the
- * time-out grows to its maximum if all answers are missing, and hardly grows if
+/* An unanswered call counts as one that took this part of the timeout: the
+ * timeout grows to its maximum if all answers are missing, and hardly grows if
  * few are. */
 #define UNANSWERED_DIVISOR 2U
 /* Share of lost polls from which on too few calls are answered to tell the
@@ -411,7 +412,7 @@
 	}
 }
 
-/* ## Time-outs */
+/* ## Timeouts */
 
 /* Drops all runs of an executor that doesn't answer polls once their leases
  * have expired. */
--- a/src/pool_placement.c
+++ b/src/pool_placement.c
@@ -102,8 +102,8 @@
 	       (now_us >= x->unanswered.until_us || pool->widespread_loss);
 }
 
-/* Decides whether unanswered commands are put down to single executors, or to
- * the network. */
+/* Decides whether unanswered commands count against the executors or are
+ * attributed to the network. */
 static void update_widespread_loss(struct ph_pool *pool, uint64_t now_us)
 {
 	const struct ph_executor *x;
@@ -191,7 +191,7 @@
 /* Time by which the leases of all runs that an earlier owner started for a
  * batch have expired. An owner that is cut off renews them until an executor
  * refuses its token or it ends the batch, which it does at about the time at
- * which the batch is submitted here. */
+ * which the batch is submitted here. A tenth of the lease is the margin. */
 static uint64_t orphans_expired_us(const struct ph_pool *pool,
 				   const struct ph_batch *b)
 {
--- a/src/pool_poll.c
+++ b/src/pool_poll.c
@@ -104,8 +104,8 @@
 		(wait_us > POLL_RETRY_MAX_US ? POLL_RETRY_MAX_US : wait_us);
 }
 
-/* Resets what is known of an executor that has restarted. Its runs have ended;
- * the rest of the poll's answer shows that. A start command that was under way
+/* Resets what is known of an executor that has restarted. Its earlier runs have
+ * ended and are absent from the same answer. A start command that was under way
  * may have reached the new incarnation, which shortens a lease end that was
  * computed for the earlier incarnation's clock. */
 static void executor_restarted(struct ph_pool *pool, struct ph_executor *x,
