--- a/test/pool_world.cc
+++ b/test/pool_world.cc
@@ -439,7 +439,7 @@
 	duration_us[w->job] = duration;
 	cpu_of[w->job] = w->need.cpu_milli;
 	requests[seq] = *w;
-	ph_pool_submit(owner->pool, now_us, "front", seq, w);
+	ph_pool_submit(owner->pool, now_us, "submitter", seq, w);
 	return seq;
 }
 
@@ -476,7 +476,7 @@
 		memcpy(w->done, from->results[seq].done, sizeof(w->done));
 		memcpy(w->where, from->results[seq].where, sizeof(w->where));
 	}
-	ph_pool_submit(to->pool, now_us, "front", seq, w);
+	ph_pool_submit(to->pool, now_us, "submitter", seq, w);
 }
 
 bool World::ended(const Owner *owner, uint64_t seq, ph_verdict verdict) const
--- a/test/test_pool.cc
+++ b/test/test_pool.cc
@@ -144,7 +144,7 @@
 	World w(4, 16000);
 	Owner *o = ready_owner(&w);
 
-	ph_pool_cancel(o->pool, w.now_us, "front", 1);
+	ph_pool_cancel(o->pool, w.now_us, "submitter", 1);
 	ASSERT_EQ(w.submit(o, "a", 4, 60 * kMs, 60 * kMs, kTarget,
 			   kCallerTimeout),
 		  1U);
@@ -591,7 +591,7 @@
 				3000 * kMs);
 
 	w.run_until(w.now_us + 100 * kMs);
-	ph_pool_submitter_lost(a->pool, w.now_us, "front");
+	ph_pool_submitter_lost(a->pool, w.now_us, "submitter");
 	w.run_until(w.now_us + 100 * kMs);
 	EXPECT_TRUE(w.ended(a, seq, PH_VERDICT_BROKEN));
 	for (const Executor &x : w.executors)
