--- a/bench/load_model.cc
+++ b/bench/load_model.cc
@@ -75,7 +75,7 @@
 	/** Rate during the burst, relative to the rate before and after. */
 	double burst = 1.0;
 	unsigned seed = 1;
-	const ph_order_policy *policy = &ph_order_slack;
+	const ph_scheduling_policy *policy = &ph_scheduling_slack;
 };
 
 /* A submitted job. */
@@ -214,8 +214,8 @@
 			job_of(kKinds[k], ++number, &rng, &run_ms);
 
 		w.at(next, [&, k, job, run_ms] {
-			sent[w.submit_work(o, job,
-					   (uint64_t)(run_ms * kMs))] = {
+			sent[w.submit_request(o, job,
+					      (uint64_t)(run_ms * kMs))] = {
 				k, w.now_us, run_ms,
 				credit_of(kKinds[k], job, run_ms)
 			};
@@ -251,7 +251,8 @@
 
 void compare_start_order(Load load, int seeds)
 {
-	for (const ph_order_policy *const *p = ph_order_policies; *p; p++) {
+	for (const ph_scheduling_policy *const *p = ph_scheduling_policies; *p;
+	     p++) {
 		Tally kind[kKindCount];
 		Tally all;
 
--- a/src/dispatcher_peers.c
+++ b/src/dispatcher_peers.c
@@ -206,7 +206,7 @@
 	uint32_t i;
 
 	for (i = 0; i < batch->count; i++)
-		batch->where[i] = PH_WHERE_UNKNOWN;
+		batch->where[i] = PH_EXECUTOR_UNKNOWN;
 }
 
 static void handle_submit(struct ph_dispatcher *d, struct ph_poolmsg *msg,
--- a/src/dispatcher_pools.c
+++ b/src/dispatcher_pools.c
@@ -56,7 +56,7 @@
 	struct ph_pool_options options = {
 		.mem = d->mem,
 		.domain = domain,
-		.policy = &ph_order_slack,
+		.policy = &ph_scheduling_slack,
 		.lease_us = d->settings.lease_us,
 		.stop_us = d->settings.stop_us,
 		.first_call = (uint64_t)d->pool_count << PH_POOL_CALL_SHIFT,
--- a/src/submitter.c
+++ b/src/submitter.c
@@ -579,7 +579,7 @@
 	for (i = 0; i < j->batch->count; i++)
 		j->batch->where[i] = result && i < result->count
 					     ? result->where[i]
-					     : PH_WHERE_UNKNOWN;
+					     : PH_EXECUTOR_UNKNOWN;
 	j->batch->resumed = true;
 }
 
