--- a/bench/core_bench.c
+++ b/bench/core_bench.c
@@ -180,14 +180,14 @@
 
 	for (i = 0; i < w->frame_count; i++) {
 		struct frame *f = &w->frames[i];
-		struct ph_msg_box *box;
+		struct ph_decoded_msg *box;
 
 		if (!ph_msg_decode(ph_mem_default(),
 				   f->data + PH_MSG_FRAME_BYTES,
 				   f->len - PH_MSG_FRAME_BYTES, &box)) {
 			ph_core_message(w->core[f->to], w->now_us,
-					ph_msg_of(box));
-			ph_msg_box_free(box);
+					ph_decoded_msg_get(box));
+			ph_decoded_msg_free(box);
 		}
 		free(f->data);
 	}
@@ -248,7 +248,7 @@
 		       const struct ph_config *config, uint32_t slots)
 {
 	char name[2][PH_NAME_BYTES] = { "n0", "n1" };
-	struct ph_listed listed = { .name = "e0",
+	struct ph_endpoint_info listed = { .name = "e0",
 				    .addr = "127.0.0.1:1",
 				    .slots = slots };
 	struct ph_core_options o = {
--- a/src/endpoints.c
+++ b/src/endpoints.c
@@ -29,7 +29,7 @@
 }
 
 static struct ph_endpoint *find(const struct ph_endpoints *set,
-				const struct ph_listed *listed)
+				const struct ph_endpoint_info *listed)
 {
 	size_t i;
 
@@ -41,7 +41,7 @@
 }
 
 static struct ph_endpoint *add(struct ph_endpoints *set,
-			       const struct ph_listed *listed)
+			       const struct ph_endpoint_info *listed)
 {
 	struct ph_endpoint *e = set->mem->calloc(1, sizeof(*e));
 
@@ -70,7 +70,7 @@
 }
 
 void ph_endpoints_update(struct ph_endpoints *set,
-			 const struct ph_listed *listed, size_t count)
+			 const struct ph_endpoint_info *listed, size_t count)
 {
 	size_t i;
 
@@ -106,7 +106,7 @@
 	return rank;
 }
 
-void ph_endpoints_share(struct ph_endpoints *set,
+void ph_endpoints_share_slots(struct ph_endpoints *set,
 			const struct ph_roster *roster, int self)
 {
 	size_t i;
@@ -128,7 +128,7 @@
 
 static uint32_t free_slots(const struct ph_endpoint *e, uint64_t now_us)
 {
-	if (e->leaving || e->unlisted || now_us < e->avoid_until_us)
+	if (e->leaving || e->unlisted || now_us < e->backoff_until_us)
 		return 0;
 	return e->busy < e->granted ? e->granted - e->busy : 0;
 }
@@ -170,13 +170,13 @@
 	if (shift > AVOID_MAX_SHIFT)
 		shift = AVOID_MAX_SHIFT;
 	endpoint->refusals++;
-	endpoint->avoid_until_us = now_us + ((uint64_t)AVOID_MIN_US << shift);
+	endpoint->backoff_until_us = now_us + ((uint64_t)AVOID_MIN_US << shift);
 	if (leaving)
 		endpoint->leaving = true;
 }
 
-void ph_endpoint_worked(struct ph_endpoint *endpoint)
+void ph_endpoint_answered(struct ph_endpoint *endpoint)
 {
 	endpoint->refusals = 0;
-	endpoint->avoid_until_us = 0;
+	endpoint->backoff_until_us = 0;
 }
--- a/src/endpoints.h
+++ b/src/endpoints.h
@@ -20,7 +20,7 @@
 	/** Slots that this instance may use; the members share them. */
 	uint32_t granted;
 	/** No work before this time; doubles with each refusal in a row. */
-	uint64_t avoid_until_us;
+	uint64_t backoff_until_us;
 	uint32_t refusals;
 };
 
@@ -32,7 +32,7 @@
 };
 
 /** One line of the platform's instance list. */
-struct ph_listed {
+struct ph_endpoint_info {
 	char name[PH_NAME_BYTES];
 	char addr[PH_ADDR_BYTES];
 	/** Failure domain, or empty. */
@@ -47,10 +47,10 @@
 
 /** Replaces the list; an empty one is ignored, for the list can lag. */
 void ph_endpoints_update(struct ph_endpoints *set,
-			 const struct ph_listed *listed, size_t count);
+			 const struct ph_endpoint_info *listed, size_t count);
 
 /** Splits each endpoint's slots over the members; self < 0 gets none. */
-void ph_endpoints_share(struct ph_endpoints *set,
+void ph_endpoints_share_slots(struct ph_endpoints *set,
 			const struct ph_roster *roster, int self);
 
 /** Endpoint with the most free granted slots, or NULL. */
@@ -66,6 +66,6 @@
 			 bool leaving);
 
 /** An endpoint answered. */
-void ph_endpoint_worked(struct ph_endpoint *endpoint);
+void ph_endpoint_answered(struct ph_endpoint *endpoint);
 
 #endif
--- a/src/entry.c
+++ b/src/entry.c
@@ -49,7 +49,7 @@
 static int on_frame(void *ctx, const char *data, size_t len)
 {
 	struct ph_entry *e = ctx;
-	struct ph_msg_box *box;
+	struct ph_decoded_msg *box;
 	struct mail *m;
 	int err = ph_msg_decode(e->mem, data, len, &box);
 
@@ -411,7 +411,7 @@
 		ph_entry_http(e, m->req, now);
 		break;
 	case MAIL_MESSAGE:
-		handle_message(e, ph_msg_of(m->box), now);
+		handle_message(e, ph_decoded_msg_get(m->box), now);
 		break;
 	case MAIL_REFUSED:
 		ph_core_refused(e->core, now, m->addr);
@@ -456,7 +456,7 @@
 
 static void mail_free(struct ph_entry *e, struct mail *m)
 {
-	ph_msg_box_free(m->box);
+	ph_decoded_msg_free(m->box);
 	e->mem->free(m->data);
 	e->mem->free(m->listed);
 	e->mem->free(m);
--- a/src/entry_core.c
+++ b/src/entry_core.c
@@ -98,14 +98,14 @@
 }
 
 void ph_core_set_endpoints(struct ph_core *core, uint64_t now_us,
-			   const char *service, const struct ph_listed *listed,
+			   const char *service, const struct ph_endpoint_info *listed,
 			   size_t count)
 {
 	struct ph_service_queue *lane = ph_core_service_queue(core, service);
 
 	ph_core_enter(core, now_us);
 	ph_endpoints_update(lane->endpoints, listed, count);
-	ph_endpoints_share(lane->endpoints, &core->roster,
+	ph_endpoints_share_slots(lane->endpoints, &core->roster,
 			   ph_membership_self(core));
 	ph_dispatch_pump(core, now_us);
 	ph_replicate_flush(core, now_us);
--- a/src/entry_core.h
+++ b/src/entry_core.h
@@ -132,7 +132,7 @@
 
 /** Replaces the endpoint list of a service. */
 void ph_core_set_endpoints(struct ph_core *core, uint64_t now_us,
-			   const char *service, const struct ph_listed *listed,
+			   const char *service, const struct ph_endpoint_info *listed,
 			   size_t count);
 
 /** A local caller's request; it is answered once through sink->reply. */
--- a/src/entry_dispatch.c
+++ b/src/entry_dispatch.c
@@ -156,7 +156,7 @@
 	r->started_us = now_us;
 	job->refs++;
 	task->slot = NULL;
-	ph_task_set(job, index, PH_TASK_STARTED);
+	ph_task_set_state(job, index, PH_TASK_STARTED);
 	task->starter = core->self.incarnation;
 	core->counters.tasks_started++;
 	start.start_id = ((uint64_t)r->generation << INDEX_BITS) | at;
@@ -208,7 +208,7 @@
 	struct ph_task *task = &job->live->tasks[index];
 
 	endpoint->busy++;
-	ph_task_set(job, index, PH_TASK_BOUND);
+	ph_task_set_state(job, index, PH_TASK_BOUND);
 	task->slot = endpoint;
 	task->starter = core->self.incarnation;
 	task->sent_seq = 0;
@@ -277,7 +277,7 @@
 	if (task->slot)
 		ph_dispatch_release(core, task->slot);
 	task->slot = NULL;
-	ph_task_set(job, index, state);
+	ph_task_set_state(job, index, state);
 }
 
 void ph_dispatch_unbind(struct ph_core *core, uint64_t now_us,
@@ -294,7 +294,7 @@
 void ph_dispatch_acked(struct ph_core *core, uint64_t now_us,
 		       struct ph_job *job, uint64_t seq)
 {
-	struct ph_live *live = job->live;
+	struct ph_live_job *live = job->live;
 	uint32_t i;
 
 	if (!live)
@@ -337,7 +337,7 @@
 void ph_dispatch_answer(struct ph_core *core, uint64_t now_us,
 			struct ph_job *job)
 {
-	struct ph_live *live = job->live;
+	struct ph_live_job *live = job->live;
 	bool was_gated = job->gated;
 	struct ph_peer *partner;
 	size_t i;
@@ -350,7 +350,7 @@
 	job->gated = false;
 	for (i = 0; i < live->waiter_count; i++)
 		ph_requests_answer_job(core, &live->waiters[i], job);
-	ph_job_settle(&core->ledger, job);
+	ph_job_free_live(&core->ledger, job);
 	if (!was_gated)
 		return;
 	ph_dispatch_permission(core, job, now_us, &partner);
@@ -385,10 +385,10 @@
 
 	core->counters.tasks_refused++;
 	if (ph_dispatch_permission(core, job, now_us, NULL) == PH_START_NONE) {
-		ph_task_set(job, index, PH_TASK_NOT_RUN);
+		ph_task_set_state(job, index, PH_TASK_NOT_RUN);
 		return;
 	}
-	ph_task_set(job, index, PH_TASK_QUEUED);
+	ph_task_set_state(job, index, PH_TASK_QUEUED);
 	if (!job->live->enqueued)
 		ph_queue_add(lane->queue, job, 1);
 }
@@ -408,7 +408,7 @@
 		task->status = status;
 		task->result = ph_memdup(core->mem, result, len);
 		task->result_len = len;
-		ph_task_set(job, index, PH_TASK_DONE);
+		ph_task_set_state(job, index, PH_TASK_DONE);
 		break;
 	case PH_OUTCOME_NOT_STARTED:
 	case PH_OUTCOME_LEAVING:
@@ -416,7 +416,7 @@
 		break;
 	case PH_OUTCOME_AMBIGUOUS:
 		core->counters.tasks_may_have_run++;
-		ph_task_set(job, index, PH_TASK_MAY_HAVE_RUN);
+		ph_task_set_state(job, index, PH_TASK_MAY_HAVE_RUN);
 		break;
 	}
 	if (ph_job_all_final(job))
@@ -449,7 +449,7 @@
 		ph_endpoint_refused(r->endpoint, now_us,
 				    outcome == PH_OUTCOME_LEAVING);
 	else if (outcome == PH_OUTCOME_DONE)
-		ph_endpoint_worked(r->endpoint);
+		ph_endpoint_answered(r->endpoint);
 	if (job->live && !job->ended)
 		task_ended(core, now_us, job, r->index, outcome, status, result,
 			   len);
@@ -498,7 +498,7 @@
 		    !starter_gone(core, task->starter))
 			continue;
 		core->counters.tasks_may_have_run++;
-		ph_task_set(job, i, state);
+		ph_task_set_state(job, i, state);
 	}
 }
 
@@ -643,7 +643,7 @@
 		break;
 	case PH_TASK_STARTED:
 		if (overdue && task->starter != core->self.incarnation)
-			ph_task_set(job, index, PH_TASK_MAY_HAVE_RUN);
+			ph_task_set_state(job, index, PH_TASK_MAY_HAVE_RUN);
 		break;
 	default:
 		break;
@@ -665,7 +665,7 @@
 			unbind_task(core, job, i, PH_TASK_MAY_HAVE_RUN);
 	if (!job->ended)
 		ph_job_end(&core->ledger, job, now_us);
-	ph_job_settle(&core->ledger, job);
+	ph_job_free_live(&core->ledger, job);
 }
 
 /* Callers are not kept waiting for an answer that can't be told yet. */
--- a/src/entry_impl.h
+++ b/src/entry_impl.h
@@ -34,7 +34,7 @@
 struct mail {
 	struct ph_mail base;
 	struct ph_http_req *req;
-	struct ph_msg_box *box;
+	struct ph_decoded_msg *box;
 	char addr[PH_ADDR_BYTES];
 	uint64_t start_id;
 	enum ph_outcome outcome;
@@ -43,7 +43,7 @@
 	uint64_t index;
 	char *data;
 	size_t len;
-	struct ph_listed *listed;
+	struct ph_endpoint_info *listed;
 	size_t listed_count;
 	struct watch *watch;
 };
--- a/src/entry_membership.c
+++ b/src/entry_membership.c
@@ -23,7 +23,7 @@
 	size_t i;
 
 	for (i = 0; i < core->lane_count; i++)
-		ph_endpoints_share(core->lanes[i].endpoints, &core->roster,
+		ph_endpoints_share_slots(core->lanes[i].endpoints, &core->roster,
 				   ph_membership_self(core));
 }
 
@@ -341,9 +341,9 @@
 			       const struct ph_msg *msg)
 {
 	(void)now_us;
-	if (msg->incarnation == msg->subject &&
+	if (msg->incarnation == msg->subject_incarnation &&
 	    msg->roster_version == core->roster.version)
-		core->found_id = msg->subject;
+		core->found_id = msg->subject_incarnation;
 }
 
 static bool is_own_past(const struct ph_core *core,
@@ -439,7 +439,7 @@
 		if (now_us < p->roster_sent_us + HANDED_OVER_EVERY_US)
 			continue;
 		p->roster_sent_us = now_us;
-		msg.subject = core->self.incarnation;
+		msg.subject_incarnation = core->self.incarnation;
 		ph_core_send(core, p->m.addr, &msg);
 	}
 }
--- a/src/entry_replication.c
+++ b/src/entry_replication.c
@@ -183,7 +183,7 @@
 /* Notes in which record a job and its starts were first sent. */
 static void stamp(struct ph_job *job, uint64_t seq)
 {
-	struct ph_live *live = job->live;
+	struct ph_live_job *live = job->live;
 	uint32_t i;
 
 	if (!live)
@@ -213,7 +213,7 @@
 	msg->records = core->mem->calloc(count, sizeof(*msg->records));
 	msg->count = count;
 	for (i = 0; i < count; i++) {
-		ph_job_record(jobs[i], now_us, !(jobs[i]->seen & bit),
+		ph_job_fill_record(jobs[i], now_us, !(jobs[i]->seen & bit),
 			      &msg->records[i], *tasks + used);
 		used += msg->records[i].count;
 	}
@@ -320,7 +320,7 @@
 				 struct ph_job *job, const struct ph_record *r)
 {
 	if (job->ended && !job->live)
-		return PH_MERGE_SAME;
+		return PH_MERGE_UNCHANGED;
 	if (job->ended)
 		ph_job_reopen(&core->ledger, job);
 	if (has_own_starts(core, job))
@@ -331,7 +331,7 @@
 			ph_core_service_queue(core, job->live->service)->queue,
 			job);
 	job->cancelled = r->cancelled;
-	ph_job_adopt_answer(&core->ledger, job, now_us, r->answer,
+	ph_job_set_answer(&core->ledger, job, now_us, r->answer,
 			    r->answer_len);
 	ph_dispatch_answer(core, now_us, job);
 	return PH_MERGE_CHANGED;
@@ -359,7 +359,7 @@
 	if (job->ended)
 		ph_job_reopen(&core->ledger, job);
 	if (!ph_rule(core, PH_RULE_MERGE))
-		return PH_MERGE_SAME;
+		return PH_MERGE_UNCHANGED;
 	if (r->cancelled)
 		job->cancelled = true;
 	return merge_tasks(core, job, r);
--- a/src/entry_requests.c
+++ b/src/entry_requests.c
@@ -137,7 +137,7 @@
 	core->relay_count++;
 	core->counters.relayed++;
 	msg.token = r->token;
-	msg.subject = target->incarnation;
+	msg.subject_incarnation = target->incarnation;
 	msg.hops = h->hops + 1;
 	msg.request = h->request;
 	ph_core_send(core, target->addr, &msg);
@@ -431,7 +431,7 @@
 		return;
 	}
 	job = accept_job(core, now_us, q, spec);
-	ph_job_wait(&core->ledger, job, &h->origin);
+	ph_job_add_waiter(&core->ledger, job, &h->origin);
 	if (over_limit(core, job)) {
 		ph_dispatch_refuse(core, job);
 		ph_dispatch_finish(core, now_us, job);
@@ -460,7 +460,7 @@
 	job->accepted_here = true;
 	job->live->fresh = core->roster.version;
 	job->live->deadline_us = now_us;
-	ph_job_wait(&core->ledger, job, &h->origin);
+	ph_job_add_waiter(&core->ledger, job, &h->origin);
 	ph_dispatch_finish(core, now_us, job);
 }
 
@@ -488,7 +488,7 @@
 		ph_requests_answer_job(core, &h->origin, job);
 		return;
 	}
-	ph_job_wait(&core->ledger, job, &h->origin);
+	ph_job_add_waiter(&core->ledger, job, &h->origin);
 	if (q->type == PH_REQUEST_CANCEL && !job->ended &&
 	    ph_dispatch_permission(core, job, now_us, NULL) >=
 		    PH_START_WITH_BACKUP)
@@ -500,7 +500,7 @@
 			uint64_t now_us)
 {
 	return ph_rule(core, PH_RULE_EARLIER_LIVES) &&
-	       ph_ledger_knew(&core->ledger, key_hash, now_us);
+	       ph_ledger_key_retired(&core->ledger, key_hash, now_us);
 }
 
 /* Serves a request at its home; false if it must wait. */
@@ -629,7 +629,7 @@
 	struct ph_waiter origin = { .token = msg->token };
 
 	ph_strcopy(origin.addr, sizeof(origin.addr), msg->addr);
-	if (msg->subject != core->self.incarnation) {
+	if (msg->subject_incarnation != core->self.incarnation) {
 		ph_requests_pending(core, &origin);
 		return;
 	}
@@ -643,7 +643,7 @@
 void ph_requests_forward_waiters(struct ph_core *core, uint64_t now_us,
 				 struct ph_job *job)
 {
-	struct ph_live *live = job->live;
+	struct ph_live_job *live = job->live;
 	char team[PH_NAME_BYTES];
 	struct ph_request q = { .type = PH_REQUEST_WAIT };
 	size_t count = live->waiter_count;
--- a/src/ledger.c
+++ b/src/ledger.c
@@ -36,7 +36,7 @@
 
 static void live_unlink(struct ph_ledger *ledger, struct ph_job *job)
 {
-	struct ph_live *live = job->live;
+	struct ph_live_job *live = job->live;
 
 	if (live->live_prev)
 		live->live_prev->live->live_next = live->live_next;
@@ -47,10 +47,10 @@
 	ledger->live_count--;
 }
 
-void ph_job_settle(struct ph_ledger *ledger, struct ph_job *job)
+void ph_job_free_live(struct ph_ledger *ledger, struct ph_job *job)
 {
 	const struct ph_mem *mem = ledger->mem;
-	struct ph_live *live = job->live;
+	struct ph_live_job *live = job->live;
 	uint32_t i;
 
 	if (!live)
@@ -68,7 +68,7 @@
 
 static void job_free(struct ph_ledger *ledger, struct ph_job *job)
 {
-	ph_job_settle(ledger, job);
+	ph_job_free_live(ledger, job);
 	ledger->answer_bytes -= job->answer_len;
 	ledger->mem->free(job->answer);
 	ledger->mem->free(job);
@@ -106,37 +106,37 @@
 void ph_ledger_retire(struct ph_ledger *ledger, uint64_t now_us,
 		      uint64_t until_us)
 {
-	size_t kept = now_us < ledger->past_until_us ? ledger->past_count : 0;
+	size_t kept = now_us < ledger->retired_until_us ? ledger->retired_key_count : 0;
 	size_t i;
 
-	ledger->past = ledger->mem->realloc(ledger->past,
+	ledger->retired_keys = ledger->mem->realloc(ledger->retired_keys,
 					    (kept + ledger->job_count + 1) *
-						    sizeof(*ledger->past));
+						    sizeof(*ledger->retired_keys));
 	for (i = 0; i < ledger->bucket_count; i++) {
 		const struct ph_job *job = ledger->buckets[i];
 
 		for (; job; job = job->chain)
-			ledger->past[kept++] = job->key_hash;
+			ledger->retired_keys[kept++] = job->key_hash;
 	}
-	qsort(ledger->past, kept, sizeof(*ledger->past), compare_hashes);
-	ledger->past_count = kept;
-	ledger->past_until_us = until_us;
+	qsort(ledger->retired_keys, kept, sizeof(*ledger->retired_keys), compare_hashes);
+	ledger->retired_key_count = kept;
+	ledger->retired_until_us = until_us;
 	ph_ledger_clear(ledger);
 }
 
-bool ph_ledger_knew(const struct ph_ledger *ledger, uint64_t key_hash,
+bool ph_ledger_key_retired(const struct ph_ledger *ledger, uint64_t key_hash,
 		    uint64_t now_us)
 {
-	return now_us < ledger->past_until_us && ledger->past_count &&
-	       bsearch(&key_hash, ledger->past, ledger->past_count,
+	return now_us < ledger->retired_until_us && ledger->retired_key_count &&
+	       bsearch(&key_hash, ledger->retired_keys, ledger->retired_key_count,
 		       sizeof(key_hash), compare_hashes);
 }
 
 void ph_ledger_free(struct ph_ledger *ledger)
 {
 	ph_ledger_clear(ledger);
-	ledger->mem->free(ledger->past);
-	ledger->past = NULL;
+	ledger->mem->free(ledger->retired_keys);
+	ledger->retired_keys = NULL;
 	ledger->mem->free(ledger->buckets);
 	ledger->buckets = NULL;
 }
@@ -207,17 +207,17 @@
 	return job;
 }
 
-void ph_job_wait(struct ph_ledger *ledger, struct ph_job *job,
+void ph_job_add_waiter(struct ph_ledger *ledger, struct ph_job *job,
 		 const struct ph_waiter *waiter)
 {
-	struct ph_live *live = job->live;
+	struct ph_live_job *live = job->live;
 	size_t bytes = (live->waiter_count + 1) * sizeof(*waiter);
 
 	live->waiters = ledger->mem->realloc(live->waiters, bytes);
 	live->waiters[live->waiter_count++] = *waiter;
 }
 
-void ph_task_set(struct ph_job *job, uint32_t at, enum ph_task_state state)
+void ph_task_set_state(struct ph_job *job, uint32_t at, enum ph_task_state state)
 {
 	struct ph_task *task = &job->live->tasks[at];
 
@@ -266,7 +266,7 @@
 	return item;
 }
 
-void ph_job_adopt_answer(struct ph_ledger *ledger, struct ph_job *job,
+void ph_job_set_answer(struct ph_ledger *ledger, struct ph_job *job,
 			 uint64_t now_us, const char *answer, size_t len)
 {
 	job->answer_len = (uint32_t)len;
@@ -287,7 +287,7 @@
 
 void ph_job_end(struct ph_ledger *ledger, struct ph_job *job, uint64_t now_us)
 {
-	struct ph_live *live = job->live;
+	struct ph_live_job *live = job->live;
 	json_t *tasks = json_array();
 	const char *id = strchr(job->key, '/') + 1;
 	bool complete = true;
@@ -312,7 +312,7 @@
 			(int)job->cancelled, "tasks", tasks);
 	text = json_dumps(doc, JSON_COMPACT);
 	json_decref(doc);
-	ph_job_adopt_answer(ledger, job, now_us, text, strlen(text));
+	ph_job_set_answer(ledger, job, now_us, text, strlen(text));
 	free(text);
 }
 
@@ -337,7 +337,7 @@
 
 void ph_job_reopen(struct ph_ledger *ledger, struct ph_job *job)
 {
-	struct ph_live *live = job->live;
+	struct ph_live_job *live = job->live;
 	uint32_t i;
 
 	ended_unlink(ledger, job);
@@ -350,7 +350,7 @@
 	job->holders = 0;
 	for (i = 0; i < live->task_count; i++)
 		if (live->tasks[i].state == PH_TASK_NOT_RUN)
-			ph_task_set(job, i, PH_TASK_QUEUED);
+			ph_task_set_state(job, i, PH_TASK_QUEUED);
 }
 
 static void record_task(const struct ph_task *task, uint32_t index,
@@ -366,10 +366,10 @@
 	out->result_len = task->result_len;
 }
 
-void ph_job_record(const struct ph_job *job, uint64_t now_us, bool with_body,
+void ph_job_fill_record(const struct ph_job *job, uint64_t now_us, bool with_body,
 		   struct ph_record *r, struct ph_task_record *tasks)
 {
-	const struct ph_live *live = job->live;
+	const struct ph_live_job *live = job->live;
 	uint32_t i;
 
 	memset(r, 0, sizeof(*r));
@@ -407,7 +407,7 @@
 {
 	struct ph_task *task = &job->live->tasks[from->index];
 
-	ph_task_set(job, from->index, from->state);
+	ph_task_set_state(job, from->index, from->state);
 	task->starter = from->starter;
 	task->status = from->status;
 	if (!from->result)
@@ -428,7 +428,7 @@
 	bool same_starter = task->starter == from->starter;
 
 	if (from->state > PH_TASK_DONE || from->state < PH_TASK_STARTED)
-		return PH_MERGE_SAME;
+		return PH_MERGE_UNCHANGED;
 	if (task->state == PH_TASK_MAY_HAVE_RUN &&
 	    from->state == PH_TASK_DONE) {
 		adopt(ledger, job, from);
@@ -436,7 +436,7 @@
 	}
 	if (task->state == from->state &&
 	    (same_starter || from->state == PH_TASK_NOT_RUN))
-		return PH_MERGE_SAME;
+		return PH_MERGE_UNCHANGED;
 	/* A start is a fact; a not-run that was not told is only the starter's
 	 * to decide. */
 	if (task->state == PH_TASK_NOT_RUN && from->state != PH_TASK_NOT_RUN &&
@@ -455,7 +455,7 @@
 		return PH_MERGE_CONFLICT;
 	/* What this instance has started it knows better than anybody. */
 	if (from->state == PH_TASK_STARTED && from->starter == self)
-		return PH_MERGE_SAME;
+		return PH_MERGE_UNCHANGED;
 	if (task->slot) {
 		release(ctx, task->slot);
 		task->slot = NULL;
@@ -467,7 +467,7 @@
 /* A job that was cancelled before it was known learns its tasks. */
 static void widen(struct ph_ledger *ledger, struct ph_job *job, uint32_t count)
 {
-	struct ph_live *live = job->live;
+	struct ph_live_job *live = job->live;
 
 	if (live->task_count || !count)
 		return;
@@ -482,7 +482,7 @@
 			   bool trusted, void (*release)(void *ctx, void *slot),
 			   void *ctx)
 {
-	enum ph_merge outcome = PH_MERGE_SAME;
+	enum ph_merge outcome = PH_MERGE_UNCHANGED;
 	size_t i;
 
 	widen(ledger, job, record->task_count);
--- a/src/ledger.h
+++ b/src/ledger.h
@@ -41,7 +41,7 @@
 };
 
 /** What is kept only while a job has no answer that may be told. */
-struct ph_live {
+struct ph_live_job {
 	char service[PH_NAME_BYTES];
 	char *body;
 	size_t body_len;
@@ -73,7 +73,7 @@
 	uint64_t ended_us;
 	/** NULL once it was dropped to save memory. */
 	char *answer;
-	struct ph_live *live;
+	struct ph_live_job *live;
 	uint32_t answer_len;
 	/** Bit per peer slot: holds the newest state; must be told; is told. */
 	uint16_t holders;
@@ -108,9 +108,9 @@
 	/** Oldest ended job that may still have its answer. */
 	struct ph_job *answered;
 	/** Sorted hashes of the keys that earlier lives knew, until then. */
-	uint64_t *past;
-	size_t past_count;
-	uint64_t past_until_us;
+	uint64_t *retired_keys;
+	size_t retired_key_count;
+	uint64_t retired_until_us;
 };
 
 void ph_ledger_init(struct ph_ledger *ledger, const struct ph_mem *mem);
@@ -123,7 +123,7 @@
 		      uint64_t until_us);
 
 /** True if a retired ledger held the key. */
-bool ph_ledger_knew(const struct ph_ledger *ledger, uint64_t key_hash,
+bool ph_ledger_key_retired(const struct ph_ledger *ledger, uint64_t key_hash,
 		    uint64_t now_us);
 
 void ph_ledger_free(struct ph_ledger *ledger);
@@ -136,11 +136,11 @@
 			     uint32_t task_count);
 
 /** Attaches a waiter to a live job. */
-void ph_job_wait(struct ph_ledger *ledger, struct ph_job *job,
+void ph_job_add_waiter(struct ph_ledger *ledger, struct ph_job *job,
 		 const struct ph_waiter *waiter);
 
 /** Sets a task's state; other holders no longer have the newest one. */
-void ph_task_set(struct ph_job *job, uint32_t at, enum ph_task_state state);
+void ph_task_set_state(struct ph_job *job, uint32_t at, enum ph_task_state state);
 
 /** Tells whether every task has a final state. */
 bool ph_job_all_final(const struct ph_job *job);
@@ -152,18 +152,18 @@
 void ph_job_reopen(struct ph_ledger *ledger, struct ph_job *job);
 
 /** Frees what only a live job needs. */
-void ph_job_settle(struct ph_ledger *ledger, struct ph_job *job);
+void ph_job_free_live(struct ph_ledger *ledger, struct ph_job *job);
 
 /**
  * Fills a record of the job. An answer travels only once it may be told;
  * before, the states of the tasks do. tasks has room for PH_MAX_TASKS entries
  * and is borrowed by the record.
  */
-void ph_job_record(const struct ph_job *job, uint64_t now_us, bool with_body,
+void ph_job_fill_record(const struct ph_job *job, uint64_t now_us, bool with_body,
 		   struct ph_record *record, struct ph_task_record *tasks);
 
 /** Takes over the answer of a job that another holder has ended. */
-void ph_job_adopt_answer(struct ph_ledger *ledger, struct ph_job *job,
+void ph_job_set_answer(struct ph_ledger *ledger, struct ph_job *job,
 			 uint64_t now_us, const char *answer, size_t len);
 
 /** Nobody but this instance can ever have heard of the job. */
@@ -171,7 +171,7 @@
 
 /** What became of a record that was merged. */
 enum ph_merge {
-	PH_MERGE_SAME,
+	PH_MERGE_UNCHANGED,
 	PH_MERGE_CHANGED,
 	/** The receiver knows of starts that the sender does not. */
 	PH_MERGE_CONFLICT,
--- a/src/msg.c
+++ b/src/msg.c
@@ -10,7 +10,7 @@
 #define RECORD_FIELDS 13U
 #define TASK_FIELDS 5U
 
-struct ph_msg_box {
+struct ph_decoded_msg {
 	struct ph_msg msg;
 	const struct ph_mem *mem;
 	msgpack_unpacked unpacked;
@@ -90,7 +90,7 @@
 static void pack_request(msgpack_packer *pk, const struct ph_msg *m)
 {
 	msgpack_pack_uint64(pk, m->token);
-	msgpack_pack_uint64(pk, m->subject);
+	msgpack_pack_uint64(pk, m->subject_incarnation);
 	msgpack_pack_uint32(pk, m->hops);
 	msgpack_pack_uint32(pk, m->request.type);
 	msgpack_pack_uint32(pk, m->request.attempt);
@@ -137,7 +137,7 @@
 		pack_bytes(pk, m->doc, m->doc_len);
 		break;
 	case PH_MSG_HANDED_OVER:
-		msgpack_pack_uint64(pk, m->subject);
+		msgpack_pack_uint64(pk, m->subject_incarnation);
 		break;
 	case PH_MSG_TYPES:
 		break;
@@ -337,7 +337,7 @@
 	struct ph_request *q = &m->request;
 
 	m->token = get_uint(r, UINT64_MAX);
-	m->subject = get_uint(r, UINT64_MAX);
+	m->subject_incarnation = get_uint(r, UINT64_MAX);
 	m->hops = (uint32_t)get_uint(r, UINT32_MAX);
 	q->type = (enum ph_request_type)get_uint(r, PH_REQUEST_CANCEL);
 	q->attempt = (uint32_t)get_uint(r, UINT32_MAX);
@@ -380,7 +380,7 @@
 			r->err = PH_ERR_SYNTAX;
 		break;
 	case PH_MSG_HANDED_OVER:
-		m->subject = get_uint(r, UINT64_MAX);
+		m->subject_incarnation = get_uint(r, UINT64_MAX);
 		break;
 	case PH_MSG_TYPES:
 		break;
@@ -458,7 +458,7 @@
 
 /* The unpacker takes memory for as many elements as an array declares, so
  * what is declared is held against the bytes that are there first. */
-bool ph_msg_plausible(const char *bytes, size_t len)
+bool ph_msg_sizes_valid(const char *bytes, size_t len)
 {
 	const uint8_t *data = (const uint8_t *)bytes;
 	size_t pending = 1;
@@ -493,14 +493,14 @@
 }
 
 int ph_msg_decode(const struct ph_mem *mem, const char *data, size_t len,
-		  struct ph_msg_box **out)
+		  struct ph_decoded_msg **out)
 {
-	struct ph_msg_box *box;
+	struct ph_decoded_msg *box;
 	struct reader r = { NULL, 0, 0 };
 	size_t used = 0;
 	int err = PH_ERR_SYNTAX;
 
-	if (!ph_msg_plausible(data, len))
+	if (!ph_msg_sizes_valid(data, len))
 		return PH_ERR_SYNTAX;
 	box = mem->calloc(1, sizeof(*box));
 	box->mem = mem;
@@ -516,19 +516,19 @@
 	err = get_msg(&r, &box->msg, box->unpacked.zone);
 out:
 	if (err) {
-		ph_msg_box_free(box);
+		ph_decoded_msg_free(box);
 		return err;
 	}
 	*out = box;
 	return 0;
 }
 
-const struct ph_msg *ph_msg_of(const struct ph_msg_box *box)
+const struct ph_msg *ph_decoded_msg_get(const struct ph_decoded_msg *box)
 {
 	return &box->msg;
 }
 
-void ph_msg_box_free(struct ph_msg_box *box)
+void ph_decoded_msg_free(struct ph_decoded_msg *box)
 {
 	if (!box)
 		return;
--- a/src/msg.h
+++ b/src/msg.h
@@ -118,7 +118,7 @@
 	size_t doc_len;
 	/** HANDED_OVER: the incarnation that is accounted for; REQUEST: the
 	 * one that it is meant for, and no later life of it. */
-	uint64_t subject;
+	uint64_t subject_incarnation;
 };
 
 /** Encodes a frame, its length included. */
@@ -128,19 +128,19 @@
  * Tells whether bytes can be one msgpack object of the kinds in use whose
  * declared sizes are all there.
  */
-bool ph_msg_plausible(const char *bytes, size_t len);
+bool ph_msg_sizes_valid(const char *bytes, size_t len);
 
 /** A decoded message together with the memory that its fields borrow. */
-struct ph_msg_box;
+struct ph_decoded_msg;
 
 /**
  * Decodes the bytes after the frame's length. Returns 0 and sets *box, or
  * PH_ERR_SYNTAX or PH_ERR_VERSION.
  */
 int ph_msg_decode(const struct ph_mem *mem, const char *data, size_t len,
-		  struct ph_msg_box **box);
+		  struct ph_decoded_msg **box);
 
-const struct ph_msg *ph_msg_of(const struct ph_msg_box *box);
-void ph_msg_box_free(struct ph_msg_box *box);
+const struct ph_msg *ph_decoded_msg_get(const struct ph_decoded_msg *box);
+void ph_decoded_msg_free(struct ph_decoded_msg *box);
 
 #endif
--- a/src/platform.c
+++ b/src/platform.c
@@ -171,7 +171,7 @@
 	json_decref(doc);
 }
 
-static bool read_listed(json_t *entry, struct ph_listed *out)
+static bool read_listed(json_t *entry, struct ph_endpoint_info *out)
 {
 	const char *id;
 	const char *address;
@@ -200,7 +200,7 @@
 {
 	const struct ph_mem *mem = c->platform->mem;
 	json_t *doc = json_loadb(result->body, result->body_len, 0, NULL);
-	struct ph_listed *listed =
+	struct ph_endpoint_info *listed =
 		mem->calloc(json_array_size(doc), sizeof(*listed));
 	json_t *entry;
 	size_t i;
--- a/src/platform.h
+++ b/src/platform.h
@@ -26,7 +26,7 @@
 	size_t item_count;
 	const struct ph_platform_item *items;
 	size_t listed_count;
-	const struct ph_listed *listed;
+	const struct ph_endpoint_info *listed;
 };
 
 typedef void ph_platform_fn(void *ctx, const struct ph_platform_reply *reply);
--- a/src/poolmsg.c
+++ b/src/poolmsg.c
@@ -450,7 +450,7 @@
 	int err = PH_ERR_SYNTAX;
 
 	memset(m, 0, sizeof(*m));
-	if (!ph_msg_plausible(data, len))
+	if (!ph_msg_sizes_valid(data, len))
 		return PH_ERR_SYNTAX;
 	msgpack_unpacked_init(&unpacked);
 	if (msgpack_unpack_next(&unpacked, data, len, NULL) ==
--- a/test/sim.cc
+++ b/test/sim.cc
@@ -246,7 +246,7 @@
 				    return;
 			    }
 			    w->input(to_id, to_node.life, [=]() {
-				    ph_msg_box *box = nullptr;
+				    ph_decoded_msg *box = nullptr;
 
 				    if (ph_msg_decode(ph_mem_default(),
 						      bytes.data(),
@@ -255,8 +255,8 @@
 					    return;
 				    }
 				    ph_core_message(w->nodes[to_id]->core,
-						    w->now, ph_msg_of(box));
-				    ph_msg_box_free(box);
+						    w->now, ph_decoded_msg_get(box));
+				    ph_decoded_msg_free(box);
 			    });
 		    });
 }
@@ -318,7 +318,7 @@
 {
 	Node &n = *nodes[id];
 	ph_core_options o = {};
-	std::vector<ph_listed> listed;
+	std::vector<ph_endpoint_info> listed;
 
 	o.mem = ph_mem_default();
 	o.name = n.name.c_str();
@@ -346,7 +346,7 @@
 			ph_core_add_seed(n.core, other->addr.c_str());
 	ph_core_set_config(n.core, now, config);
 	for (const Endpoint &e : endpoints) {
-		ph_listed l = {};
+		ph_endpoint_info l = {};
 
 		if (e.domain != n.domain)
 			continue;
--- a/test/test_ledger.cc
+++ b/test/test_ledger.cc
@@ -45,7 +45,7 @@
 		  PH_MERGE_CONFLICT },
 		{ "an echo of an own start does not bring it back",
 		  PH_TASK_QUEUED, kSelf, PH_TASK_STARTED, kSelf, true,
-		  PH_TASK_QUEUED, PH_MERGE_SAME },
+		  PH_TASK_QUEUED, PH_MERGE_UNCHANGED },
 		{ "the starter may say not-run", PH_TASK_STARTED, kOther,
 		  PH_TASK_NOT_RUN, kOther, true, PH_TASK_NOT_RUN,
 		  PH_MERGE_CHANGED },
@@ -62,7 +62,7 @@
 		{ "an outcome stays", PH_TASK_DONE, kOther, PH_TASK_STARTED,
 		  kOther, true, PH_TASK_DONE, PH_MERGE_CONFLICT },
 		{ "a queued task says nothing", PH_TASK_STARTED, kOther,
-		  PH_TASK_QUEUED, 0, true, PH_TASK_STARTED, PH_MERGE_SAME },
+		  PH_TASK_QUEUED, 0, true, PH_TASK_STARTED, PH_MERGE_UNCHANGED },
 	};
 
 	for (const MergeCase &c : cases) {
@@ -74,7 +74,7 @@
 
 		ph_ledger_init(&ledger, ph_mem_default());
 		struct ph_job *job = ph_ledger_add(&ledger, 1, "t/a", "s", 1);
-		ph_task_set(job, 0, (ph_task_state)c.local);
+		ph_task_set_state(job, 0, (ph_task_state)c.local);
 		job->live->tasks[0].starter = c.local_starter;
 		record.task_count = 1;
 		record.count = 1;
@@ -98,9 +98,9 @@
 		struct ph_job *job =
 			ph_ledger_add(&ledger, 1, key.c_str(), "s", 1);
 
-		ph_task_set(job, 0, PH_TASK_DONE);
+		ph_task_set_state(job, 0, PH_TASK_DONE);
 		ph_job_end(&ledger, job, 1000 + (uint64_t)i);
-		ph_job_settle(&ledger, job);
+		ph_job_free_live(&ledger, job);
 	}
 	EXPECT_EQ(ph_ledger_expire(&ledger, 1000 + 99, 100), 0u);
 	EXPECT_EQ(ph_ledger_expire(&ledger, 1000 + 100, 100), 1u);
@@ -131,9 +131,9 @@
 		struct ph_job *job =
 			ph_ledger_add(&ledger, 1, key.c_str(), "s", 1);
 
-		ph_task_set(job, 0, PH_TASK_DONE);
+		ph_task_set_state(job, 0, PH_TASK_DONE);
 		ph_job_end(&ledger, job, 1000);
-		ph_job_settle(&ledger, job);
+		ph_job_free_live(&ledger, job);
 		bytes = job->answer_len;
 	}
 	for (const TrimCase &c : cases) {
@@ -202,7 +202,7 @@
 
 			while (job->live->tasks[at].state != PH_TASK_QUEUED)
 				at++;
-			ph_task_set(job, at, PH_TASK_STARTED);
+			ph_task_set_state(job, at, PH_TASK_STARTED);
 			of_b += job->key[0] == 'b';
 			ph_queue_charge(queue, job, 60000);
 		}
@@ -293,7 +293,7 @@
 	for (const Retired &c : cases) {
 		SCOPED_TRACE(c.key);
 		EXPECT_EQ(
-			ph_ledger_knew(&ledger, ph_hash_str(c.key), c.asked_us),
+			ph_ledger_key_retired(&ledger, ph_hash_str(c.key), c.asked_us),
 			c.known);
 	}
 	ph_ledger_free(&ledger);
--- a/test/test_msg.cc
+++ b/test/test_msg.cc
@@ -36,12 +36,12 @@
 
 int decode(const std::string &frame)
 {
-	struct ph_msg_box *box = nullptr;
+	struct ph_decoded_msg *box = nullptr;
 	int err = ph_msg_decode(ph_mem_default(), frame.data(), frame.size(),
 				&box);
 
 	if (!err)
-		ph_msg_box_free(box);
+		ph_decoded_msg_free(box);
 	return err;
 }
 
@@ -75,15 +75,15 @@
 {
 	for (int type = 1; type < PH_MSG_TYPES; type++) {
 		std::string frame = sample(type);
-		struct ph_msg_box *box = nullptr;
+		struct ph_decoded_msg *box = nullptr;
 
 		ASSERT_EQ(ph_msg_decode(ph_mem_default(), frame.data(),
 					frame.size(), &box),
 			  0)
 			<< type;
-		EXPECT_EQ(ph_msg_of(box)->type, type);
-		EXPECT_EQ(ph_msg_of(box)->incarnation, 7u);
-		ph_msg_box_free(box);
+		EXPECT_EQ(ph_decoded_msg_get(box)->type, type);
+		EXPECT_EQ(ph_decoded_msg_get(box)->incarnation, 7u);
+		ph_decoded_msg_free(box);
 	}
 }
 
