--- a/src/entry_dispatch.c
+++ b/src/entry_dispatch.c
@@ -2,14 +2,19 @@
 
 #include "entry_core_impl.h"
 
-#define OVERDUE_US 1000000U
-#define FIRST_RUNNING 64U
-#define INDEX_BITS 24U
-#define INDEX_MASK ((1U << INDEX_BITS) - 1U)
-
-/* ## Rights */
-
-/* Nobody outside the present roster can have started the job. */
+/* After a job's deadline, an outcome from another instance is awaited for this
+ * long; then the task counts as may-have-run. */
+#define UNREPORTED_GRACE_US 1000000U
+#define INITIAL_RUNNING_SLOTS 64U
+/* A start id has the index in core->running in its low bits, and above them
+ * the entry's generation, which tells a reused entry from its earlier use. */
+#define SLOT_BITS 24U
+#define SLOT_MASK ((1U << SLOT_BITS) - 1U)
+
+/* ## Start permission */
+
+/* Whether it is certain that no instance outside the current roster has started
+ * a task of the job. */
 static bool accounted_for(const struct ph_core *core, const struct ph_job *job)
 {
 	if (job->live && job->live->fresh < core->roster.broken &&
@@ -22,17 +27,19 @@
 	return ph_membership_complete(core);
 }
 
-/* In a roster of two, a partner that died in time changed nothing unseen: it
- * started nothing alone and did not remove this instance. */
-static bool stands_alone(const struct ph_core *core,
-			 const struct ph_peer *partner)
+/* In a roster of two members, a partner that died before it could start tasks
+ * solo has neither started a task that is unknown here nor removed this
+ * instance from the roster. */
+static bool sole_survivor_of_two(const struct ph_core *core,
+				 const struct ph_peer *partner)
 {
 	return partner->life == PH_DEAD_CLEAN && core->roster.count == 2;
 }
 
-static bool may_start_alone(const struct ph_core *core,
-			    const struct ph_job *job,
-			    const struct ph_peer *partner, uint64_t now_us)
+/* Whether the job's tasks may start while the partner is silent and the
+ * platform can't be reached. */
+static bool may_start_solo(const struct ph_core *core, const struct ph_job *job,
+			   const struct ph_peer *partner, uint64_t now_us)
 {
 	if (!job->first_attempt && ph_rule(core, PH_RULE_ALONE_FIRST))
 		return false;
@@ -65,7 +72,7 @@
 				       core->roster.members[other].incarnation);
 	if (!partner)
 		return PH_START_WAIT;
-	if (stands_alone(core, partner))
+	if (sole_survivor_of_two(core, partner))
 		return accounted_for(core, job) ? PH_START_SOLO : PH_START_WAIT;
 	if (backup)
 		*backup = partner;
@@ -76,7 +83,7 @@
 		return accounted_for(core, job) ? PH_START_WITH_BACKUP
 						: PH_START_WAIT;
 	}
-	if (may_start_alone(core, job, partner, now_us))
+	if (may_start_solo(core, job, partner, now_us))
 		return PH_START_SOLO;
 	return self == pair.primary ? PH_START_WAIT : PH_START_NONE;
 }
@@ -107,13 +114,14 @@
 	endpoint->busy--;
 }
 
+/* Returns a free entry of core->running, its index in *at. */
 static struct ph_running *running_new(struct ph_core *core, uint32_t *at)
 {
 	size_t i;
 
 	if (core->running_count == core->running_cap) {
 		size_t cap = core->running_cap ? core->running_cap * 2
-					       : FIRST_RUNNING;
+					       : INITIAL_RUNNING_SLOTS;
 
 		core->running = core->mem->realloc(
 			core->running, cap * sizeof(*core->running));
@@ -159,12 +167,14 @@
 	ph_task_set_state(job, index, PH_TASK_STARTED);
 	task->starter = core->self.incarnation;
 	core->counters.tasks_started++;
-	start.start_id = ((uint64_t)r->generation << INDEX_BITS) | at;
+	start.start_id = ((uint64_t)r->generation << SLOT_BITS) | at;
 	core->opt.sink->start(core->opt.ctx, &start);
 }
 
-static void start_alone(struct ph_core *core, uint64_t now_us,
-			struct ph_job *job, uint32_t index)
+/* Starts a task without the backup's acknowledgement and notes that the partner
+ * has yet to receive its record. */
+static void start_solo(struct ph_core *core, uint64_t now_us,
+		       struct ph_job *job, uint32_t index)
 {
 	struct ph_peer *partner;
 
@@ -174,7 +184,7 @@
 	start_task(core, now_us, job, index);
 }
 
-static uint32_t first_queued(const struct ph_job *job)
+static uint32_t first_queued_task(const struct ph_job *job)
 {
 	uint32_t i = 0;
 
@@ -198,13 +208,15 @@
 	return kind ? kind->expected_us : 1;
 }
 
-/* Binds the job's next task to an endpoint's slot. */
+/* Reserves an endpoint's slot for the job's next queued task. With solo
+ * permission the task starts at once, otherwise after the backup has
+ * acknowledged its record. */
 static void bind_task(struct ph_core *core, uint64_t now_us,
-		      struct ph_service_queue *lane, struct ph_job *job,
-		      struct ph_endpoint *endpoint,
-		      enum ph_start_permission right)
+		      struct ph_service_queue *service_queue,
+		      struct ph_job *job, struct ph_endpoint *endpoint,
+		      enum ph_start_permission permission)
 {
-	uint32_t index = first_queued(job);
+	uint32_t index = first_queued_task(job);
 	struct ph_task *task = &job->live->tasks[index];
 
 	endpoint->busy++;
@@ -212,9 +224,10 @@
 	task->slot = endpoint;
 	task->starter = core->self.incarnation;
 	task->sent_seq = 0;
-	ph_queue_charge(lane->queue, job, expected_cost_us(core, job, index));
-	if (right == PH_START_SOLO) {
-		start_alone(core, now_us, job, index);
+	ph_queue_charge(service_queue->queue, job,
+			expected_cost_us(core, job, index));
+	if (permission == PH_START_SOLO) {
+		start_solo(core, now_us, job, index);
 		ph_replicate(core, now_us, job, false);
 		return;
 	}
@@ -223,15 +236,16 @@
 		start_task(core, now_us, job, index);
 }
 
+/* Whether a queued task of the job may take a slot now; sets *permission. */
 static bool may_bind(const struct ph_core *core, const struct ph_job *job,
-		     uint64_t now_us, enum ph_start_permission *right)
+		     uint64_t now_us, enum ph_start_permission *permission)
 {
 	struct ph_peer *partner;
 
-	*right = ph_dispatch_permission(core, job, now_us, &partner);
-	if (*right == PH_START_WITH_BACKUP)
+	*permission = ph_dispatch_permission(core, job, now_us, &partner);
+	if (*permission == PH_START_WITH_BACKUP)
 		return !core->stopping;
-	if (*right != PH_START_SOLO)
+	if (*permission != PH_START_SOLO)
 		return false;
 	if (partner && job->live->first_seq &&
 	    ph_rule(core, PH_RULE_ALONE_UNSENT))
@@ -239,25 +253,28 @@
 	return true;
 }
 
-static void pump_lane(struct ph_core *core, uint64_t now_us,
-		      struct ph_service_queue *lane)
+/* Binds queued tasks of one service to slots until no slot is free or no job is
+ * left. */
+static void start_queued_tasks(struct ph_core *core, uint64_t now_us,
+			       struct ph_service_queue *service_queue)
 {
 	for (;;) {
-		struct ph_job *job = ph_queue_pick(lane->queue);
+		struct ph_job *job = ph_queue_pick(service_queue->queue);
 		struct ph_endpoint *endpoint;
-		enum ph_start_permission right;
+		enum ph_start_permission permission;
 
 		if (!job)
 			return;
 		if (!job->live->queued ||
-		    !may_bind(core, job, now_us, &right)) {
-			ph_queue_remove(lane->queue, job);
+		    !may_bind(core, job, now_us, &permission)) {
+			ph_queue_remove(service_queue->queue, job);
 			continue;
 		}
-		endpoint = ph_endpoints_pick(lane->endpoints, now_us);
+		endpoint = ph_endpoints_pick(service_queue->endpoints, now_us);
 		if (!endpoint)
 			return;
-		bind_task(core, now_us, lane, job, endpoint, right);
+		bind_task(core, now_us, service_queue, job, endpoint,
+			  permission);
 	}
 }
 
@@ -266,9 +283,10 @@
 	size_t i;
 
 	for (i = 0; i < core->lane_count; i++)
-		pump_lane(core, now_us, &core->lanes[i]);
+		start_queued_tasks(core, now_us, &core->lanes[i]);
 }
 
+/* Releases the slot of a task that has not started and sets its state. */
 static void unbind_task(struct ph_core *core, struct ph_job *job,
 			uint32_t index, enum ph_task_state state)
 {
@@ -317,8 +335,9 @@
 
 /* ## Outcomes */
 
-/* A not-run is true for good if nobody else can start the job any more, and
- * if the other holder, where there is one, knows that. */
+/* A not-run may be sent to the caller once no other instance can start the task
+ * later: the partner has the newest record, or there is no partner that has
+ * any record of the job. */
 static bool may_answer_not_run(const struct ph_core *core, uint64_t now_us,
 			       const struct ph_job *job)
 {
@@ -338,7 +357,7 @@
 			struct ph_job *job)
 {
 	struct ph_live_job *live = job->live;
-	bool was_gated = job->gated;
+	bool not_run_was_gated = job->gated;
 	struct ph_peer *partner;
 	size_t i;
 
@@ -351,7 +370,7 @@
 	for (i = 0; i < live->waiter_count; i++)
 		ph_requests_answer_job(core, &live->waiters[i], job);
 	ph_job_free_live(&core->ledger, job);
-	if (!was_gated)
+	if (!not_run_was_gated)
 		return;
 	ph_dispatch_permission(core, job, now_us, &partner);
 	if (partner && !(job->holders & (1U << ph_peer_slot(core, partner))))
@@ -376,11 +395,12 @@
 	ph_dispatch_answer(core, now_us, job);
 }
 
-/* A task that its endpoint refused is free to start again, by us alone. */
-static void task_refused(struct ph_core *core, uint64_t now_us,
-			 struct ph_job *job, uint32_t index)
+/* The endpoint refused the task, so it has not run. It is queued again, or is
+ * not-run if another instance now starts the job's tasks. */
+static void endpoint_refused_task(struct ph_core *core, uint64_t now_us,
+				  struct ph_job *job, uint32_t index)
 {
-	struct ph_service_queue *lane =
+	struct ph_service_queue *service_queue =
 		ph_core_service_queue(core, job->live->service);
 
 	core->counters.tasks_refused++;
@@ -390,13 +410,14 @@
 	}
 	ph_task_set_state(job, index, PH_TASK_QUEUED);
 	if (!job->live->enqueued)
-		ph_queue_add(lane->queue, job, 1);
+		ph_queue_add(service_queue->queue, job, 1);
 }
 
-static void task_ended(struct ph_core *core, uint64_t now_us,
-		       struct ph_job *job, uint32_t index,
-		       enum ph_outcome outcome, int32_t status,
-		       const char *result, size_t len)
+/* Sets the state of a task started here, by the endpoint's outcome. */
+static void apply_outcome(struct ph_core *core, uint64_t now_us,
+			  struct ph_job *job, uint32_t index,
+			  enum ph_outcome outcome, int32_t status,
+			  const char *result, size_t len)
 {
 	struct ph_task *task = &job->live->tasks[index];
 
@@ -412,7 +433,7 @@
 		break;
 	case PH_OUTCOME_NOT_STARTED:
 	case PH_OUTCOME_LEAVING:
-		task_refused(core, now_us, job, index);
+		endpoint_refused_task(core, now_us, job, index);
 		break;
 	case PH_OUTCOME_AMBIGUOUS:
 		core->counters.tasks_may_have_run++;
@@ -430,7 +451,7 @@
 		       enum ph_outcome outcome, int32_t status,
 		       const char *result, size_t len)
 {
-	uint32_t at = (uint32_t)(start_id & INDEX_MASK);
+	uint32_t at = (uint32_t)(start_id & SLOT_MASK);
 	struct ph_running *r;
 	struct ph_job *job;
 
@@ -438,7 +459,7 @@
 	if (at >= core->running_cap)
 		return;
 	r = &core->running[at];
-	if (!r->used || start_id >> INDEX_BITS != r->generation)
+	if (!r->used || start_id >> SLOT_BITS != r->generation)
 		return;
 	r->used = false;
 	core->running_count--;
@@ -451,8 +472,8 @@
 	else if (outcome == PH_OUTCOME_DONE)
 		ph_endpoint_answered(r->endpoint);
 	if (job->live && !job->ended)
-		task_ended(core, now_us, job, r->index, outcome, status, result,
-			   len);
+		apply_outcome(core, now_us, job, r->index, outcome, status,
+			      result, len);
 	ph_dispatch_pump(core, now_us);
 	ph_replicate_flush(core, now_us);
 }
@@ -469,8 +490,8 @@
 			     &job->live->spec, &fault);
 }
 
-/* The instance that started a task can't report its outcome any more. */
-static bool starter_gone(struct ph_core *core, uint64_t starter)
+/* Whether the instance that started a task can no longer report its outcome. */
+static bool starter_unreachable(struct ph_core *core, uint64_t starter)
 {
 	struct ph_peer *peer;
 
@@ -484,7 +505,8 @@
 	return ph_roster_find(&core->roster, starter) < 0;
 }
 
-static void resolve_orphans(struct ph_core *core, struct ph_job *job)
+/* Tasks whose starter is dead or removed become may-have-run. */
+static void resolve_lost_starts(struct ph_core *core, struct ph_job *job)
 {
 	enum ph_task_state state = PH_TASK_MAY_HAVE_RUN;
 	uint32_t i;
@@ -495,7 +517,7 @@
 		struct ph_task *task = &job->live->tasks[i];
 
 		if (task->state != PH_TASK_STARTED ||
-		    !starter_gone(core, task->starter))
+		    !starter_unreachable(core, task->starter))
 			continue;
 		core->counters.tasks_may_have_run++;
 		ph_task_set_state(job, i, state);
@@ -517,19 +539,20 @@
 
 static void enqueue(struct ph_core *core, struct ph_job *job)
 {
-	struct ph_service_queue *lane =
+	struct ph_service_queue *service_queue =
 		ph_core_service_queue(core, job->live->service);
 
 	if (!job->live->queued || job->live->enqueued)
 		return;
 	if (ph_dispatch_parse(core, job))
 		return;
-	ph_queue_add(lane->queue, job, team_weight(core, job));
+	ph_queue_add(service_queue->queue, job, team_weight(core, job));
 }
 
-/* Bindings whose record was lost on the way, and that may start alone now. */
-static void start_bound_alone(struct ph_core *core, uint64_t now_us,
-			      struct ph_job *job)
+/* Starts tasks that were bound while the backup had to acknowledge them, now
+ * that they may start solo. */
+static void start_bound_solo(struct ph_core *core, uint64_t now_us,
+			     struct ph_job *job)
 {
 	uint32_t i;
 
@@ -540,14 +563,15 @@
 			continue;
 		if (!ph_dispatch_alone_task(core, job, task, now_us))
 			continue;
-		start_alone(core, now_us, job, i);
+		start_solo(core, now_us, job, i);
 	}
 }
 
-/* A record that was acknowledged at a time when nothing could start has to
- * be sent again before its tasks start. */
-static void record_again(struct ph_core *core, uint64_t now_us,
-			 struct ph_job *job, const struct ph_peer *backup)
+/* Sends the record of a job with bound tasks again if none is queued or in
+ * flight: an acknowledgement that arrived while the job had no permission to
+ * start has started nothing. */
+static void replicate_again(struct ph_core *core, uint64_t now_us,
+			    struct ph_job *job, const struct ph_peer *backup)
 {
 	uint16_t bit = (uint16_t)(1U << ph_peer_slot(core, backup));
 	uint32_t i;
@@ -570,7 +594,10 @@
 			unbind_task(core, job, i, PH_TASK_NOT_RUN);
 }
 
-static void give_up(struct ph_core *core, uint64_t now_us, struct ph_job *job)
+/* Another instance now starts the job's tasks: releases slots and forwards the
+ * waiting callers. */
+static void hand_off_job(struct ph_core *core, uint64_t now_us,
+			 struct ph_job *job)
 {
 	if (job->live->enqueued)
 		ph_queue_remove(
@@ -584,31 +611,31 @@
 			    struct ph_job *job)
 {
 	struct ph_peer *backup = NULL;
-	enum ph_start_permission right;
+	enum ph_start_permission permission;
 
 	if (!job->live)
 		return;
-	right = ph_dispatch_permission(core, job, now_us, &backup);
-	if (right == PH_START_NONE) {
-		give_up(core, now_us, job);
+	permission = ph_dispatch_permission(core, job, now_us, &backup);
+	if (permission == PH_START_NONE) {
+		hand_off_job(core, now_us, job);
 		return;
 	}
 	if (job->ended) {
 		ph_dispatch_answer(core, now_us, job);
 		return;
 	}
-	resolve_orphans(core, job);
+	resolve_lost_starts(core, job);
 	if (job->cancelled && accounted_for(core, job))
 		ph_dispatch_refuse(core, job);
 	if (ph_job_all_final(job)) {
 		ph_dispatch_finish(core, now_us, job);
 		return;
 	}
-	if (right == PH_START_SOLO)
-		start_bound_alone(core, now_us, job);
-	if (right == PH_START_WITH_BACKUP)
-		record_again(core, now_us, job, backup);
-	if (right != PH_START_WAIT)
+	if (permission == PH_START_SOLO)
+		start_bound_solo(core, now_us, job);
+	if (permission == PH_START_WITH_BACKUP)
+		replicate_again(core, now_us, job, backup);
+	if (permission != PH_START_WAIT)
 		enqueue(core, job);
 }
 
@@ -628,11 +655,12 @@
 
 /* ## Deadlines */
 
+/* Ends a task whose job has passed its deadline, if it can be ended yet. */
 static void expire_task(struct ph_core *core, uint64_t now_us,
 			struct ph_job *job, uint32_t index)
 {
 	struct ph_task *task = &job->live->tasks[index];
-	bool overdue = now_us >= job->live->deadline_us + OVERDUE_US;
+	bool overdue = now_us >= job->live->deadline_us + UNREPORTED_GRACE_US;
 
 	switch (task->state) {
 	case PH_TASK_QUEUED:
@@ -650,9 +678,11 @@
 	}
 }
 
-/* Holders without a right learn the end from the primary, or forget. */
-static void expire_held_job(struct ph_core *core, uint64_t now_us,
-			    struct ph_job *job)
+/* A job that another instance starts normally ends by that instance's record.
+ * If none has come remember_us after the deadline, it is ended here, its
+ * unfinished tasks as may-have-run. */
+static void expire_foreign_job(struct ph_core *core, uint64_t now_us,
+			       struct ph_job *job)
 {
 	uint32_t i;
 
@@ -668,8 +698,9 @@
 	ph_job_free_live(&core->ledger, job);
 }
 
-/* Callers are not kept waiting for an answer that can't be told yet. */
-static void release_waiters(struct ph_core *core, struct ph_job *job)
+/* Answers waiting callers with "pending" when the answer is withheld for longer
+ * than hold_us. */
+static void answer_waiters_pending(struct ph_core *core, struct ph_job *job)
 {
 	size_t i;
 
@@ -687,11 +718,11 @@
 		return;
 	if (job->ended) {
 		if (now_us >= job->ended_us + core->opt.hold_us)
-			release_waiters(core, job);
+			answer_waiters_pending(core, job);
 		return;
 	}
 	if (ph_dispatch_permission(core, job, now_us, NULL) == PH_START_NONE) {
-		expire_held_job(core, now_us, job);
+		expire_foreign_job(core, now_us, job);
 		return;
 	}
 	for (i = 0; i < job->live->task_count; i++)
@@ -700,13 +731,14 @@
 		ph_dispatch_finish(core, now_us, job);
 }
 
-#define REVIEW_EVERY_US 100000U
+/* Time between two passes over all live jobs. */
+#define REVIEW_INTERVAL_US 100000U
 
 void ph_dispatch_tick(struct ph_core *core, uint64_t now_us)
 {
 	struct ph_job *job = core->ledger.live_head;
 
-	if (now_us < core->reviewed_us + REVIEW_EVERY_US) {
+	if (now_us < core->reviewed_us + REVIEW_INTERVAL_US) {
 		ph_dispatch_pump(core, now_us);
 		return;
 	}
