--- a/src/entry_requests.c
+++ b/src/entry_requests.c
@@ -6,8 +6,10 @@
 
 #include "entry_core_impl.h"
 
-#define MAX_HOPS 3U
-#define RELAY_KEEP_US 900000000U
+/* Instances may disagree on a job's home while rosters change; the limit ends
+ * a relay between them that would go in circles. */
+#define MAX_RELAY_HOPS 3U
+#define RELAY_TIMEOUT_US 900000000U
 
 static const char pending_doc[] =
 	"{\"state\":\"pending\",\"error\":\"the outcome is not known here yet;"
@@ -65,6 +67,7 @@
 
 /* ## Held requests */
 
+/* Copies a request; the copy owns its strings and its body. */
 static struct ph_held *held_new(struct ph_core *core, uint64_t now_us,
 				const struct ph_waiter *origin, uint32_t hops,
 				const struct ph_request *request)
@@ -106,7 +109,7 @@
 	core->held_count++;
 }
 
-/* ## Relays */
+/* ## Relayed requests */
 
 static struct ph_relay **relay_bucket(struct ph_core *core, uint64_t token)
 {
@@ -120,6 +123,7 @@
 	core->relay_count--;
 }
 
+/* Sends a request to another instance, which replies to it; takes over h. */
 static void relay(struct ph_core *core, uint64_t now_us,
 		  const struct ph_roster_member *target, struct ph_held *h)
 {
@@ -165,15 +169,16 @@
 	relay_free(core, r);
 }
 
-static bool relay_over(const struct ph_relay *r, uint64_t now_us,
-		       const char *addr)
+static bool relay_ended(const struct ph_relay *r, uint64_t now_us,
+			const char *addr)
 {
 	if (addr)
 		return !strcmp(r->target, addr);
-	return now_us >= r->sent_us + RELAY_KEEP_US;
+	return now_us >= r->sent_us + RELAY_TIMEOUT_US;
 }
 
-/* Ends relays to an address, or without one those that are too old. */
+/* Ends the relays to an address or, with addr NULL, those that have timed out.
+ * Their requests may have been served: the caller gets a "pending" reply. */
 static void end_relays(struct ph_core *core, uint64_t now_us, const char *addr)
 {
 	size_t i;
@@ -184,7 +189,7 @@
 		while (*at) {
 			struct ph_relay *r = *at;
 
-			if (!relay_over(r, now_us, addr)) {
+			if (!relay_ended(r, now_us, addr)) {
 				at = &r->chain;
 				continue;
 			}
@@ -210,19 +215,21 @@
 /* ## Routing */
 
 enum route {
-	ROUTE_HERE,
+	ROUTE_LOCAL,
 	ROUTE_PEER,
+	/** No instance can serve the request at present. */
 	ROUTE_HOLD,
 };
 
-static bool usable(const struct ph_core *core, const struct ph_peer *peer,
-		   uint64_t now_us)
+static bool peer_reachable(const struct ph_core *core,
+			   const struct ph_peer *peer, uint64_t now_us)
 {
 	return peer && peer->life == PH_ALIVE && peer->heard_us &&
 	       !ph_peer_silent(core, peer, now_us);
 }
 
-/* The primary can't be reached: its copy may act for it. */
+/* The primary can't be reached. Once it is dead, its backup serves the request;
+ * before, only first attempts, and only while the backup may start solo. */
 static enum route route_to_backup(struct ph_core *core, uint64_t now_us,
 				  const struct ph_held *h,
 				  const struct ph_peer *primary, int backup,
@@ -236,15 +243,16 @@
 	m = &core->roster.members[backup];
 	if (m->incarnation == core->self.incarnation) {
 		if (dead)
-			return ROUTE_HERE;
+			return ROUTE_LOCAL;
 		if (h->request.attempt == 1 ||
 		    !ph_rule(core, PH_RULE_ALONE_FIRST))
 			if (ph_peer_solo(core, primary, now_us))
-				return ROUTE_HERE;
+				return ROUTE_LOCAL;
 		return ROUTE_HOLD;
 	}
 	if (!dead ||
-	    !usable(core, ph_peer_by_incarnation(core, m->incarnation), now_us))
+	    !peer_reachable(core, ph_peer_by_incarnation(core, m->incarnation),
+			    now_us))
 		return ROUTE_HOLD;
 	*target = m;
 	return ROUTE_PEER;
@@ -270,18 +278,20 @@
 		return ROUTE_HOLD;
 	m = &core->roster.members[pair.primary];
 	if (m->incarnation == core->self.incarnation)
-		return ROUTE_HERE;
+		return ROUTE_LOCAL;
 	primary = ph_peer_by_incarnation(core, m->incarnation);
-	if (!usable(core, primary, now_us))
+	if (!peer_reachable(core, primary, now_us))
 		return route_to_backup(core, now_us, h, primary, pair.backup,
 				       target);
 	*target = m;
 	return ROUTE_PEER;
 }
 
-static enum route route_foreign(struct ph_core *core, const char *domain,
-				const struct ph_held *h,
-				const struct ph_roster_member **target)
+/* Routes to the primary of a job whose home is another failure domain. */
+static enum route route_to_other_domain(struct ph_core *core,
+					const char *domain,
+					const struct ph_held *h,
+					const struct ph_roster_member **target)
 {
 	char key[PH_KEY_BYTES];
 	size_t i;
@@ -316,14 +326,18 @@
 	if (home < 0)
 		return ROUTE_HOLD;
 	if (strcmp(domains[home], core->domain) != 0)
-		return route_foreign(core, domains[home], h, target);
+		return route_to_other_domain(core, domains[home], h, target);
 	return route_in_domain(core, now_us, h, target);
 }
 
-/* ## Requests at home */
+/* ## Requests served by the job's home */
 
-static bool check_spec(struct ph_core *core, const struct ph_waiter *origin,
-		       const struct ph_request *q, const struct ph_spec *spec)
+/* Checks that the configuration has the request's service, team and task kinds;
+ * answers the caller if it does not. */
+static bool check_against_config(struct ph_core *core,
+				 const struct ph_waiter *origin,
+				 const struct ph_request *q,
+				 const struct ph_spec *spec)
 {
 	const struct ph_service *service =
 		ph_config_service(core->config, q->service);
@@ -348,7 +362,9 @@
 	return true;
 }
 
-/* Unknown ids may be taken as new only with the whole domain's knowledge. */
+/* Whether an id that is not in the ledger may be served as new: a first attempt
+ * always, any other request only if no removed or dead member of the domain can
+ * hold the id's job. */
 static bool may_accept(struct ph_core *core, const struct ph_request *q,
 		       uint64_t key_hash)
 {
@@ -373,6 +389,7 @@
 	return ph_hash(q->body, q->body_len) ^ ph_hash_str(q->service);
 }
 
+/* Adds the job of a request to the ledger; the job owns spec. */
 static struct ph_job *accept_job(struct ph_core *core, uint64_t now_us,
 				 const struct ph_request *q,
 				 struct ph_spec *spec)
@@ -395,22 +412,23 @@
 	return job;
 }
 
-static bool over_limit(struct ph_core *core, const struct ph_job *job)
+/* Whether the job's tasks exceed its team's limit of queued tasks. */
+static bool over_queue_limit(struct ph_core *core, const struct ph_job *job)
 {
-	struct ph_service_queue *lane =
+	struct ph_service_queue *service_queue =
 		ph_core_service_queue(core, job->live->service);
 	char team[PH_NAME_BYTES];
 	const struct ph_team *t;
 
 	ph_key_team(job->key, team);
 	t = ph_config_team(core->config, team);
-	return t &&
-	       ph_queue_team_tasks(lane->queue, job->key) + job->live->queued >
-		       t->queued_max;
+	return t && ph_queue_team_tasks(service_queue->queue, job->key) +
+				    job->live->queued >
+			    t->queued_max;
 }
 
-static void submit_new(struct ph_core *core, uint64_t now_us,
-		       const struct ph_held *h)
+static void submit_new_job(struct ph_core *core, uint64_t now_us,
+			   const struct ph_held *h)
 {
 	const struct ph_request *q = &h->request;
 	struct ph_spec *spec = NULL;
@@ -426,13 +444,13 @@
 			     fault.what);
 		return;
 	}
-	if (!check_spec(core, &h->origin, q, spec)) {
+	if (!check_against_config(core, &h->origin, q, spec)) {
 		ph_spec_free(spec);
 		return;
 	}
 	job = accept_job(core, now_us, q, spec);
 	ph_job_add_waiter(&core->ledger, job, &h->origin);
-	if (over_limit(core, job)) {
+	if (over_queue_limit(core, job)) {
 		ph_dispatch_refuse(core, job);
 		ph_dispatch_finish(core, now_us, job);
 		return;
@@ -442,14 +460,15 @@
 		ph_queue_add(
 			ph_core_service_queue(core, job->live->service)->queue,
 			job, ph_config_team(core->config, q->team)->weight);
-	/* A job that can't start now is still worth a second holder. */
+	/* The backup gets the record of a job that can't start now, too. */
 	if (!job->live->enqueued || core->stopping)
 		ph_replicate(core, now_us, job, true);
 	ph_dispatch_pump(core, now_us);
 }
 
-static void cancel_unknown(struct ph_core *core, uint64_t now_us,
-			   const struct ph_held *h)
+/* Records the id as cancelled, so that a later submit of it starts nothing. */
+static void cancel_unknown_id(struct ph_core *core, uint64_t now_us,
+			      const struct ph_held *h)
 {
 	char key[PH_KEY_BYTES];
 	struct ph_job *job;
@@ -464,8 +483,8 @@
 	ph_dispatch_finish(core, now_us, job);
 }
 
-static void cancel_live(struct ph_core *core, uint64_t now_us,
-			struct ph_job *job)
+static void cancel_live_job(struct ph_core *core, uint64_t now_us,
+			    struct ph_job *job)
 {
 	job->cancelled = true;
 	ph_dispatch_refuse(core, job);
@@ -473,8 +492,8 @@
 		ph_dispatch_finish(core, now_us, job);
 }
 
-static void request_known(struct ph_core *core, uint64_t now_us,
-			  const struct ph_held *h, struct ph_job *job)
+static void serve_known_job(struct ph_core *core, uint64_t now_us,
+			    const struct ph_held *h, struct ph_job *job)
 {
 	const struct ph_request *q = &h->request;
 
@@ -492,19 +511,21 @@
 	if (q->type == PH_REQUEST_CANCEL && !job->ended &&
 	    ph_dispatch_permission(core, job, now_us, NULL) >=
 		    PH_START_WITH_BACKUP)
-		cancel_live(core, now_us, job);
+		cancel_live_job(core, now_us, job);
 }
 
-/* Another holder may have ended the id since this instance handed it over. */
-static bool knew_before(const struct ph_core *core, uint64_t key_hash,
-			uint64_t now_us)
+/* Whether an earlier incarnation's ledger held the id: since it was handed
+ * over, another instance may have run and ended the job. */
+static bool held_by_earlier_ledger(const struct ph_core *core,
+				   uint64_t key_hash, uint64_t now_us)
 {
 	return ph_rule(core, PH_RULE_EARLIER_LIVES) &&
 	       ph_ledger_key_retired(&core->ledger, key_hash, now_us);
 }
 
-/* Serves a request at its home; false if it must wait. */
-static bool serve_here(struct ph_core *core, uint64_t now_us, struct ph_held *h)
+/* Serves a request as its home; false if that isn't possible yet. */
+static bool serve_locally(struct ph_core *core, uint64_t now_us,
+			  struct ph_held *h)
 {
 	struct ph_request *q = &h->request;
 	char key[PH_KEY_BYTES];
@@ -513,13 +534,15 @@
 	make_key(key, q);
 	job = ph_ledger_find(&core->ledger, key);
 	if (job) {
-		request_known(core, now_us, h, job);
+		serve_known_job(core, now_us, h, job);
 		return true;
 	}
-	/* A first attempt that outlived the ledger is not one any more. */
+	/* Records may have been lost since the request arrived, or an earlier
+	 * incarnation held the id: it may have been served already and no
+	 * longer counts as a first attempt. */
 	if (q->type == PH_REQUEST_SUBMIT &&
 	    (h->version < core->roster.broken ||
-	     knew_before(core, ph_hash_str(key), now_us)))
+	     held_by_earlier_ledger(core, ph_hash_str(key), now_us)))
 		q->attempt = 0;
 	if (!core->active || core->retiring)
 		return false;
@@ -532,9 +555,9 @@
 		return true;
 	}
 	if (q->type == PH_REQUEST_SUBMIT)
-		submit_new(core, now_us, h);
+		submit_new_job(core, now_us, h);
 	else if (q->type == PH_REQUEST_CANCEL)
-		cancel_unknown(core, now_us, h);
+		cancel_unknown_id(core, now_us, h);
 	else if (q->attempt)
 		ph_requests_pending(core, &h->origin);
 	else
@@ -542,20 +565,21 @@
 	return true;
 }
 
-/* Takes over h; true if it was answered, relayed or accepted. */
+/* Routes or serves a request. Returns true and frees or passes on h if it was
+ * answered, relayed or accepted; else h stays the caller's. */
 static bool try_request(struct ph_core *core, uint64_t now_us,
 			struct ph_held *h)
 {
 	const struct ph_roster_member *target = NULL;
 
 	switch (route(core, now_us, h, &target)) {
-	case ROUTE_HERE:
-		if (!serve_here(core, now_us, h))
+	case ROUTE_LOCAL:
+		if (!serve_locally(core, now_us, h))
 			return false;
 		held_free(core, h);
 		return true;
 	case ROUTE_PEER:
-		if (h->hops >= MAX_HOPS) {
+		if (h->hops >= MAX_RELAY_HOPS) {
 			ph_requests_pending(core, &h->origin);
 			held_free(core, h);
 			return true;
@@ -651,7 +675,8 @@
 
 	live->waiter_count = 0;
 	ph_key_team(job->key, team);
-	/* It was submitted, so that it is unknown elsewhere is no answer. */
+	/* The job exists: with a nonzero attempt, an instance that has not
+	 * received its record replies "pending" rather than "unknown id". */
 	q.attempt = 1;
 	q.team = team;
 	q.service = live->service;
