--- a/src/ledger.c
+++ b/src/ledger.c
@@ -6,9 +6,9 @@
 #include "ident.h"
 #include "ledger.h"
 
-#define FIRST_BUCKETS 1024U
+#define INITIAL_BUCKETS 1024U
 
-static const char *const class_names[] = {
+static const char *const state_names[] = {
 	[PH_TASK_QUEUED] = "queued",
 	[PH_TASK_BOUND] = "queued",
 	[PH_TASK_STARTED] = "running",
@@ -21,8 +21,8 @@
 {
 	memset(ledger, 0, sizeof(*ledger));
 	ledger->mem = mem;
-	ledger->bucket_count = FIRST_BUCKETS;
-	ledger->buckets = mem->calloc(FIRST_BUCKETS, sizeof(struct ph_job *));
+	ledger->bucket_count = INITIAL_BUCKETS;
+	ledger->buckets = mem->calloc(INITIAL_BUCKETS, sizeof(struct ph_job *));
 }
 
 static void live_link(struct ph_ledger *ledger, struct ph_job *job)
@@ -92,7 +92,7 @@
 	}
 	ledger->ended_head = NULL;
 	ledger->ended_tail = NULL;
-	ledger->answered = NULL;
+	ledger->oldest_answered = NULL;
 }
 
 static int compare_hashes(const void *a, const void *b)
@@ -106,30 +106,34 @@
 void ph_ledger_retire(struct ph_ledger *ledger, uint64_t now_us,
 		      uint64_t until_us)
 {
-	size_t kept = now_us < ledger->retired_until_us ? ledger->retired_key_count : 0;
+	size_t kept = now_us < ledger->retired_until_us
+			      ? ledger->retired_key_count
+			      : 0;
 	size_t i;
 
-	ledger->retired_keys = ledger->mem->realloc(ledger->retired_keys,
-					    (kept + ledger->job_count + 1) *
-						    sizeof(*ledger->retired_keys));
+	ledger->retired_keys = ledger->mem->realloc(
+		ledger->retired_keys,
+		(kept + ledger->job_count + 1) * sizeof(*ledger->retired_keys));
 	for (i = 0; i < ledger->bucket_count; i++) {
 		const struct ph_job *job = ledger->buckets[i];
 
 		for (; job; job = job->chain)
 			ledger->retired_keys[kept++] = job->key_hash;
 	}
-	qsort(ledger->retired_keys, kept, sizeof(*ledger->retired_keys), compare_hashes);
+	qsort(ledger->retired_keys, kept, sizeof(*ledger->retired_keys),
+	      compare_hashes);
 	ledger->retired_key_count = kept;
 	ledger->retired_until_us = until_us;
 	ph_ledger_clear(ledger);
 }
 
 bool ph_ledger_key_retired(const struct ph_ledger *ledger, uint64_t key_hash,
-		    uint64_t now_us)
+			   uint64_t now_us)
 {
 	return now_us < ledger->retired_until_us && ledger->retired_key_count &&
-	       bsearch(&key_hash, ledger->retired_keys, ledger->retired_key_count,
-		       sizeof(key_hash), compare_hashes);
+	       bsearch(&key_hash, ledger->retired_keys,
+		       ledger->retired_key_count, sizeof(key_hash),
+		       compare_hashes);
 }
 
 void ph_ledger_free(struct ph_ledger *ledger)
@@ -156,7 +160,7 @@
 	return job;
 }
 
-static void grow(struct ph_ledger *ledger)
+static void grow_buckets(struct ph_ledger *ledger)
 {
 	struct ph_job **old = ledger->buckets;
 	size_t old_count = ledger->bucket_count;
@@ -190,7 +194,7 @@
 	struct ph_job **at;
 
 	if (ledger->job_count >= ledger->bucket_count)
-		grow(ledger);
+		grow_buckets(ledger);
 	memcpy(job->key, key, key_bytes);
 	job->key_hash = ph_hash_str(key);
 	job->live = mem->calloc(1, sizeof(*job->live));
@@ -208,7 +212,7 @@
 }
 
 void ph_job_add_waiter(struct ph_ledger *ledger, struct ph_job *job,
-		 const struct ph_waiter *waiter)
+		       const struct ph_waiter *waiter)
 {
 	struct ph_live_job *live = job->live;
 	size_t bytes = (live->waiter_count + 1) * sizeof(*waiter);
@@ -217,7 +221,8 @@
 	live->waiters[live->waiter_count++] = *waiter;
 }
 
-void ph_task_set_state(struct ph_job *job, uint32_t at, enum ph_task_state state)
+void ph_task_set_state(struct ph_job *job, uint32_t at,
+		       enum ph_task_state state)
 {
 	struct ph_task *task = &job->live->tasks[at];
 
@@ -239,8 +244,8 @@
 	return true;
 }
 
-/* Parses an endpoint's result; what is not JSON travels as a string. */
-static json_t *result_json(const struct ph_task *task)
+/* An endpoint's result as JSON; one that isn't JSON becomes a string. */
+static json_t *task_result_json(const struct ph_task *task)
 {
 	json_t *value;
 
@@ -258,16 +263,16 @@
 	json_t *item = json_object();
 
 	json_object_set_new(item, "class",
-			    json_string(class_names[task->state]));
+			    json_string(state_names[task->state]));
 	if (task->state != PH_TASK_DONE)
 		return item;
 	json_object_set_new(item, "status", json_integer(task->status));
-	json_object_set_new(item, "result", result_json(task));
+	json_object_set_new(item, "result", task_result_json(task));
 	return item;
 }
 
 void ph_job_set_answer(struct ph_ledger *ledger, struct ph_job *job,
-			 uint64_t now_us, const char *answer, size_t len)
+		       uint64_t now_us, const char *answer, size_t len)
 {
 	job->answer_len = (uint32_t)len;
 	job->answer = ph_memdup(ledger->mem, answer, len);
@@ -281,8 +286,8 @@
 	else
 		ledger->ended_head = job;
 	ledger->ended_tail = job;
-	if (!ledger->answered)
-		ledger->answered = job;
+	if (!ledger->oldest_answered)
+		ledger->oldest_answered = job;
 }
 
 void ph_job_end(struct ph_ledger *ledger, struct ph_job *job, uint64_t now_us)
@@ -331,8 +336,8 @@
 		ledger->ended_head = job->ended_next;
 	if (ledger->ended_tail == job)
 		ledger->ended_tail = prev;
-	if (ledger->answered == job)
-		ledger->answered = job->ended_next;
+	if (ledger->oldest_answered == job)
+		ledger->oldest_answered = job->ended_next;
 }
 
 void ph_job_reopen(struct ph_ledger *ledger, struct ph_job *job)
@@ -353,8 +358,9 @@
 			ph_task_set_state(job, i, PH_TASK_QUEUED);
 }
 
-static void record_task(const struct ph_task *task, uint32_t index,
-			struct ph_task_record *out)
+/* Fills the entry of one task; out borrows its result. */
+static void fill_task_record(const struct ph_task *task, uint32_t index,
+			     struct ph_task_record *out)
 {
 	out->index = index;
 	out->state = task->state;
@@ -366,8 +372,9 @@
 	out->result_len = task->result_len;
 }
 
-void ph_job_fill_record(const struct ph_job *job, uint64_t now_us, bool with_body,
-		   struct ph_record *r, struct ph_task_record *tasks)
+void ph_job_fill_record(const struct ph_job *job, uint64_t now_us,
+			bool with_body, struct ph_record *r,
+			struct ph_task_record *tasks)
 {
 	const struct ph_live_job *live = job->live;
 	uint32_t i;
@@ -397,13 +404,14 @@
 	for (i = 0; i < live->task_count; i++) {
 		if (live->tasks[i].state == PH_TASK_QUEUED)
 			continue;
-		record_task(&live->tasks[i], i, &tasks[r->count]);
+		fill_task_record(&live->tasks[i], i, &tasks[r->count]);
 		r->count++;
 	}
 }
 
-static void adopt(struct ph_ledger *ledger, struct ph_job *job,
-		  const struct ph_task_record *from)
+/* Overwrites a task with the state and result of a record. */
+static void apply_task_record(struct ph_ledger *ledger, struct ph_job *job,
+			      const struct ph_task_record *from)
 {
 	struct ph_task *task = &job->live->tasks[from->index];
 
@@ -417,6 +425,7 @@
 	task->result_len = from->result_len;
 }
 
+/* Merges the state of one task; a conflict leaves the local state as it is. */
 static enum ph_merge merge_task(struct ph_ledger *ledger, struct ph_job *job,
 				const struct ph_task_record *from,
 				uint64_t self,
@@ -431,17 +440,18 @@
 		return PH_MERGE_UNCHANGED;
 	if (task->state == PH_TASK_MAY_HAVE_RUN &&
 	    from->state == PH_TASK_DONE) {
-		adopt(ledger, job, from);
+		apply_task_record(ledger, job, from);
 		return PH_MERGE_CHANGED;
 	}
 	if (task->state == from->state &&
 	    (same_starter || from->state == PH_TASK_NOT_RUN))
 		return PH_MERGE_UNCHANGED;
-	/* A start is a fact; a not-run that was not told is only the starter's
-	 * to decide. */
+	/* The local not-run has not been sent to any caller yet, so any other
+	 * state of another instance replaces it. A start by the same starter
+	 * doesn't: it is older than the starter's own not-run. */
 	if (task->state == PH_TASK_NOT_RUN && from->state != PH_TASK_NOT_RUN &&
 	    (from->state != PH_TASK_STARTED || !same_starter)) {
-		adopt(ledger, job, from);
+		apply_task_record(ledger, job, from);
 		return PH_MERGE_CHANGED;
 	}
 	if (task->state >= PH_TASK_NOT_RUN)
@@ -453,19 +463,21 @@
 		return PH_MERGE_CONFLICT;
 	if (task->state == PH_TASK_STARTED && from->state == PH_TASK_STARTED)
 		return PH_MERGE_CONFLICT;
-	/* What this instance has started it knows better than anybody. */
+	/* The local state of a task started here is the newest. */
 	if (from->state == PH_TASK_STARTED && from->starter == self)
 		return PH_MERGE_UNCHANGED;
 	if (task->slot) {
 		release(ctx, task->slot);
 		task->slot = NULL;
 	}
-	adopt(ledger, job, from);
+	apply_task_record(ledger, job, from);
 	return PH_MERGE_CHANGED;
 }
 
-/* A job that was cancelled before it was known learns its tasks. */
-static void widen(struct ph_ledger *ledger, struct ph_job *job, uint32_t count)
+/* A job that was cancelled before it was submitted has no tasks until a record
+ * brings their number. */
+static void set_task_count(struct ph_ledger *ledger, struct ph_job *job,
+			   uint32_t count)
 {
 	struct ph_live_job *live = job->live;
 
@@ -485,7 +497,7 @@
 	enum ph_merge outcome = PH_MERGE_UNCHANGED;
 	size_t i;
 
-	widen(ledger, job, record->task_count);
+	set_task_count(ledger, job, record->task_count);
 	for (i = 0; i < record->count; i++) {
 		struct ph_task_record from = record->tasks[i];
 		enum ph_merge m;
@@ -507,7 +519,7 @@
 	       job->live->first_seq == 0;
 }
 
-static void unchain(struct ph_ledger *ledger, struct ph_job *job)
+static void bucket_unlink(struct ph_ledger *ledger, struct ph_job *job)
 {
 	struct ph_job **at = bucket_of(ledger, job->key_hash);
 
@@ -529,11 +541,11 @@
 		if (job->refs || job->dirty || job->in_flight)
 			break;
 		ledger->ended_head = job->ended_next;
-		if (ledger->answered == job)
-			ledger->answered = job->ended_next;
+		if (ledger->oldest_answered == job)
+			ledger->oldest_answered = job->ended_next;
 		if (!ledger->ended_head)
 			ledger->ended_tail = NULL;
-		unchain(ledger, job);
+		bucket_unlink(ledger, job);
 		job_free(ledger, job);
 		count++;
 	}
@@ -544,17 +556,17 @@
 {
 	size_t count = 0;
 
-	while (ledger->answered && ledger->answer_bytes > max_bytes) {
-		struct ph_job *job = ledger->answered;
+	while (ledger->oldest_answered && ledger->answer_bytes > max_bytes) {
+		struct ph_job *job = ledger->oldest_answered;
 
-		/* An answer that is still to be given is not dropped. */
+		/* Callers still have to receive the answer. */
 		if (job->live)
 			break;
 		ledger->answer_bytes -= job->answer_len;
 		ledger->mem->free(job->answer);
 		job->answer = NULL;
 		job->answer_len = 0;
-		ledger->answered = job->ended_next;
+		ledger->oldest_answered = job->ended_next;
 		count++;
 	}
 	return count;
--- a/test/test_ledger.cc
+++ b/test/test_ledger.cc
@@ -12,7 +12,7 @@
 namespace
 {
 
-void no_release(void *, void *)
+void ignore_release(void *, void *)
 {
 }
 
@@ -31,38 +31,42 @@
 	ph_merge merge;
 };
 
-TEST(Ledger, TheMoreAdvancedStateWins)
+TEST(Ledger, MergeKeepsMoreAdvancedState)
 {
 	const MergeCase cases[] = {
-		{ "a start elsewhere is learned", PH_TASK_QUEUED, 0,
-		  PH_TASK_STARTED, kOther, true, PH_TASK_STARTED,
-		  PH_MERGE_CHANGED },
-		{ "a binding yields to a start", PH_TASK_BOUND, kSelf,
-		  PH_TASK_STARTED, kOther, true, PH_TASK_STARTED,
+		{ "a start by another instance is taken over", PH_TASK_QUEUED,
+		  0, PH_TASK_STARTED, kOther, true, PH_TASK_STARTED,
 		  PH_MERGE_CHANGED },
-		{ "an own start is kept", PH_TASK_STARTED, kSelf,
+		{ "a start by another instance replaces a local binding",
+		  PH_TASK_BOUND, kSelf, PH_TASK_STARTED, kOther, true,
+		  PH_TASK_STARTED, PH_MERGE_CHANGED },
+		{ "a local start is not overwritten", PH_TASK_STARTED, kSelf,
 		  PH_TASK_STARTED, kOther, true, PH_TASK_STARTED,
 		  PH_MERGE_CONFLICT },
-		{ "an echo of an own start does not bring it back",
+		{ "an outdated record of a local start is ignored",
 		  PH_TASK_QUEUED, kSelf, PH_TASK_STARTED, kSelf, true,
 		  PH_TASK_QUEUED, PH_MERGE_UNCHANGED },
-		{ "the starter may say not-run", PH_TASK_STARTED, kOther,
-		  PH_TASK_NOT_RUN, kOther, true, PH_TASK_NOT_RUN,
+		{ "not-run from the starter replaces its start",
+		  PH_TASK_STARTED, kOther, PH_TASK_NOT_RUN, kOther, true,
+		  PH_TASK_NOT_RUN, PH_MERGE_CHANGED },
+		{ "not-run from another instance conflicts with a start",
+		  PH_TASK_STARTED, kOther, PH_TASK_NOT_RUN, kThird, true,
+		  PH_TASK_STARTED, PH_MERGE_CONFLICT },
+		{ "a start replaces a not-run that was not sent yet",
+		  PH_TASK_NOT_RUN, 0, PH_TASK_STARTED, kOther, true,
+		  PH_TASK_STARTED, PH_MERGE_CHANGED },
+		{ "an untrusted not-run becomes may-have-run", PH_TASK_QUEUED,
+		  0, PH_TASK_NOT_RUN, kOther, false, PH_TASK_MAY_HAVE_RUN,
 		  PH_MERGE_CHANGED },
-		{ "nobody else may", PH_TASK_STARTED, kOther, PH_TASK_NOT_RUN,
-		  kThird, true, PH_TASK_STARTED, PH_MERGE_CONFLICT },
-		{ "an untold not-run yields to a start", PH_TASK_NOT_RUN, 0,
-		  PH_TASK_STARTED, kOther, true, PH_TASK_STARTED,
-		  PH_MERGE_CHANGED },
-		{ "a not-run after a break is not trusted", PH_TASK_QUEUED, 0,
-		  PH_TASK_NOT_RUN, kOther, false, PH_TASK_MAY_HAVE_RUN,
+		{ "an outcome replaces may-have-run", PH_TASK_MAY_HAVE_RUN,
+		  kOther, PH_TASK_DONE, kOther, true, PH_TASK_DONE,
 		  PH_MERGE_CHANGED },
-		{ "an outcome ends the doubt", PH_TASK_MAY_HAVE_RUN, kOther,
-		  PH_TASK_DONE, kOther, true, PH_TASK_DONE, PH_MERGE_CHANGED },
-		{ "an outcome stays", PH_TASK_DONE, kOther, PH_TASK_STARTED,
-		  kOther, true, PH_TASK_DONE, PH_MERGE_CONFLICT },
-		{ "a queued task says nothing", PH_TASK_STARTED, kOther,
-		  PH_TASK_QUEUED, 0, true, PH_TASK_STARTED, PH_MERGE_UNCHANGED },
+		{ "an outcome is not replaced by a start", PH_TASK_DONE, kOther,
+		  PH_TASK_STARTED, kOther, true, PH_TASK_DONE,
+		  PH_MERGE_CONFLICT },
+		{ "a queued task in a record changes nothing", PH_TASK_STARTED,
+		  kOther, PH_TASK_QUEUED, 0, true, PH_TASK_STARTED,
+		  PH_MERGE_UNCHANGED },
 	};
 
 	for (const MergeCase &c : cases) {
@@ -80,7 +84,7 @@
 		record.count = 1;
 		record.tasks = &task;
 		EXPECT_EQ(ph_job_merge(&ledger, job, &record, kSelf, c.trusted,
-				       no_release, nullptr),
+				       ignore_release, nullptr),
 			  c.merge)
 			<< c.what;
 		EXPECT_EQ(job->live->tasks[0].state, c.result) << c.what;
@@ -88,7 +92,7 @@
 	}
 }
 
-TEST(Ledger, ForgetsAfterTheWindowOnly)
+TEST(Ledger, ExpiresEndedJobsAfterRetentionPeriod)
 {
 	struct ph_ledger ledger;
 
@@ -116,7 +120,7 @@
 	size_t dropped;
 };
 
-TEST(Ledger, DropsTheOldestAnswersButNoIds)
+TEST(Ledger, TrimDropsOldestAnswersAndKeepsJobs)
 {
 	const TrimCase cases[] = {
 		{ 100, 0 }, { 99, 1 }, { 60, 39 }, { 60, 0 }, { 0, 60 },
@@ -157,12 +161,13 @@
 	const ph_queue_policy *policy;
 	uint32_t weight_a;
 	uint32_t weight_b;
-	/* Starts of team b among 1,000, after 5,000 tasks of a came first. */
-	int least;
-	int most;
+	/* Bounds for the starts of team b among the first 1,000, with 5,000
+	 * tasks of team a queued before those of b. */
+	int min_starts_of_b;
+	int max_starts_of_b;
 };
 
-TEST(Queue, SharesByWeight)
+TEST(Queue, StartsTasksInProportionToTeamWeight)
 {
 	const ShareCase cases[] = {
 		{ &ph_queue_fifo, 1, 1, 0, 0 },
@@ -175,7 +180,7 @@
 		struct ph_ledger ledger;
 		struct ph_queue *queue =
 			ph_queue_new(ph_mem_default(), c.policy);
-		int of_b = 0;
+		int starts_of_b = 0;
 
 		ph_ledger_init(&ledger, ph_mem_default());
 		for (int i = 0; i < 50; i++) {
@@ -203,17 +208,17 @@
 			while (job->live->tasks[at].state != PH_TASK_QUEUED)
 				at++;
 			ph_task_set_state(job, at, PH_TASK_STARTED);
-			of_b += job->key[0] == 'b';
+			starts_of_b += job->key[0] == 'b';
 			ph_queue_charge(queue, job, 60000);
 		}
-		EXPECT_GE(of_b, c.least) << c.policy->name;
-		EXPECT_LE(of_b, c.most) << c.policy->name;
+		EXPECT_GE(starts_of_b, c.min_starts_of_b) << c.policy->name;
+		EXPECT_LE(starts_of_b, c.max_starts_of_b) << c.policy->name;
 		ph_queue_free(queue);
 		ph_ledger_free(&ledger);
 	}
 }
 
-TEST(Roster, RemovingThePrimaryPromotesTheCopy)
+TEST(Roster, RemovingPrimaryPromotesBackup)
 {
 	struct ph_roster roster = {};
 
@@ -238,7 +243,7 @@
 	}
 }
 
-TEST(Roster, ComesBackFromItsDocument)
+TEST(Roster, DecodesEncodedRosterAndRejectsInvalidDocuments)
 {
 	const char *bad[] = { "",
 			      "{}",
@@ -268,16 +273,17 @@
 			<< text;
 }
 
-/* A life that ends leaves its successor the ids, for as long as a late first
- * attempt of one may arrive. */
-TEST(Ledger, ARetiredLedgerIsRememberedByItsKeys)
+/* An instance that rejoins under a new incarnation has no jobs. If it didn't
+ * know which ids its earlier incarnations held, a late first attempt would run
+ * such a job again. */
+TEST(Ledger, RetiredKeysAreKeptUntilTheirExpiry)
 {
-	struct Retired {
+	struct KeyCase {
 		const char *key;
-		uint64_t asked_us;
+		uint64_t now_us;
 		bool known;
 	};
-	const Retired cases[] = {
+	const KeyCase cases[] = {
 		{ "t1/first", 150, true },   { "t1/second", 150, true },
 		{ "t1/first", 250, false },  { "t1/other", 150, false },
 		{ "t1/second", 200, false },
@@ -290,11 +296,11 @@
 	EXPECT_EQ(ledger.job_count, 0U);
 	ph_ledger_add(&ledger, 20, "t1/second", "s", 2);
 	ph_ledger_retire(&ledger, 100, 200);
-	for (const Retired &c : cases) {
+	for (const KeyCase &c : cases) {
 		SCOPED_TRACE(c.key);
-		EXPECT_EQ(
-			ph_ledger_key_retired(&ledger, ph_hash_str(c.key), c.asked_us),
-			c.known);
+		EXPECT_EQ(ph_ledger_key_retired(&ledger, ph_hash_str(c.key),
+						c.now_us),
+			  c.known);
 	}
 	ph_ledger_free(&ledger);
 }
