--- a/src/endpoints.c
+++ b/src/endpoints.c
@@ -3,8 +3,8 @@
 #include "endpoints.h"
 #include "ident.h"
 
-#define AVOID_MIN_US 20000U
-#define AVOID_MAX_SHIFT 6U
+#define BACKOFF_MIN_US 20000U
+#define BACKOFF_MAX_DOUBLINGS 6U
 
 struct ph_endpoints *ph_endpoints_new(const struct ph_mem *mem,
 				      const char *service)
@@ -53,7 +53,7 @@
 	return e;
 }
 
-static void drop_idle_unlisted(struct ph_endpoints *set)
+static void remove_idle_unlisted(struct ph_endpoints *set)
 {
 	size_t i = 0;
 
@@ -87,10 +87,11 @@
 		e->slots = listed[i].slots;
 		e->leaving = listed[i].leaving;
 	}
-	drop_idle_unlisted(set);
+	remove_idle_unlisted(set);
 }
 
-/* Position of a member in an endpoint's ranking by rendezvous. */
+/* Rank of a member for an endpoint by rendezvous hashing, from 0. The lowest
+ * ranks get the slots that are left over by even division. */
 static uint32_t rank_of(const struct ph_roster *roster, int self,
 			uint64_t endpoint_hash)
 {
@@ -107,7 +108,7 @@
 }
 
 void ph_endpoints_share_slots(struct ph_endpoints *set,
-			const struct ph_roster *roster, int self)
+			      const struct ph_roster *roster, int self)
 {
 	size_t i;
 
@@ -167,10 +168,11 @@
 {
 	uint32_t shift = endpoint->refusals;
 
-	if (shift > AVOID_MAX_SHIFT)
-		shift = AVOID_MAX_SHIFT;
+	if (shift > BACKOFF_MAX_DOUBLINGS)
+		shift = BACKOFF_MAX_DOUBLINGS;
 	endpoint->refusals++;
-	endpoint->backoff_until_us = now_us + ((uint64_t)AVOID_MIN_US << shift);
+	endpoint->backoff_until_us =
+		now_us + ((uint64_t)BACKOFF_MIN_US << shift);
 	if (leaving)
 		endpoint->leaving = true;
 }
--- a/src/endpoints.h
+++ b/src/endpoints.h
@@ -2,8 +2,9 @@
 #define PH_ENDPOINTS_H
 
 /*
- * The endpoints of one service: their slots, health and departure. The
- * members of the domain's roster share an endpoint's slots evenly.
+ * The endpoints of one service: their slots, back-off after refusals, and
+ * draining. An endpoint's slots are divided evenly among the members of the
+ * domain's roster.
  */
 
 #include "roster.h"
@@ -11,16 +12,19 @@
 struct ph_endpoint {
 	char name[PH_NAME_BYTES];
 	char addr[PH_ADDR_BYTES];
+	/** Number of tasks that the endpoint runs at a time. */
 	uint32_t slots;
+	/** Slots in use by this instance, reserved ones included. */
 	uint32_t busy;
-	/** Listed as leaving, or has refused work because it leaves. */
+	/** Listed as leaving, or has refused a task because it is leaving. */
 	bool leaving;
-	/** Absent from the newest list; kept until its tasks have ended. */
+	/** Missing from the latest list; removed when no slot is in use. */
 	bool unlisted;
-	/** Slots that this instance may use; the members share them. */
+	/** Slots that this instance may use. */
 	uint32_t granted;
-	/** No work before this time; doubles with each refusal in a row. */
+	/** No task is sent before this time, because of refusals. */
 	uint64_t backoff_until_us;
+	/** Consecutive refusals; each doubles the back-off, up to a limit. */
 	uint32_t refusals;
 };
 
@@ -31,11 +35,11 @@
 	size_t count;
 };
 
-/** One line of the platform's instance list. */
+/** One entry of the platform's endpoint list. */
 struct ph_endpoint_info {
 	char name[PH_NAME_BYTES];
 	char addr[PH_ADDR_BYTES];
-	/** Failure domain, or empty. */
+	/** Failure domain; empty if unknown. */
 	char domain[PH_NAME_BYTES];
 	uint32_t slots;
 	bool leaving;
@@ -45,27 +49,30 @@
 				      const char *service);
 void ph_endpoints_free(struct ph_endpoints *set);
 
-/** Replaces the list; an empty one is ignored, for the list can lag. */
+/** Applies a new list; an empty one is ignored, since the platform can lag. */
 void ph_endpoints_update(struct ph_endpoints *set,
 			 const struct ph_endpoint_info *listed, size_t count);
 
-/** Splits each endpoint's slots over the members; self < 0 gets none. */
+/**
+ * Sets the slots of each endpoint that the member at index self may use; with
+ * self < 0, none.
+ */
 void ph_endpoints_share_slots(struct ph_endpoints *set,
-			const struct ph_roster *roster, int self);
+			      const struct ph_roster *roster, int self);
 
 /** Endpoint with the most free granted slots, or NULL. */
 struct ph_endpoint *ph_endpoints_pick(const struct ph_endpoints *set,
 				      uint64_t now_us);
 
-/** Free granted slots over all usable endpoints. */
+/** Number of free granted slots over all usable endpoints. */
 uint32_t ph_endpoints_free_slots(const struct ph_endpoints *set,
 				 uint64_t now_us);
 
-/** An endpoint refused a task before starting it. */
+/** Notes that an endpoint refused a task; begins or extends the back-off. */
 void ph_endpoint_refused(struct ph_endpoint *endpoint, uint64_t now_us,
 			 bool leaving);
 
-/** An endpoint answered. */
+/** Notes that an endpoint answered; ends the back-off. */
 void ph_endpoint_answered(struct ph_endpoint *endpoint);
 
 #endif
--- a/src/queue.c
+++ b/src/queue.c
@@ -3,16 +3,19 @@
 #include "ident.h"
 #include "queue.h"
 
+/* Run time granted per round and unit of weight. */
 #define QUANTUM_US 100000
 #define TEAM_BUCKETS 256U
 
 struct team {
 	struct team *chain;
-	/** Ring of teams with queued jobs; NULL when idle. */
+	/** Links in the ring of teams with queued jobs; NULL if idle. */
 	struct team *next;
 	struct team *prev;
+	/** The team's queued jobs in order of arrival. */
 	struct ph_job *head;
 	struct ph_job *tail;
+	/** Run time that the team may still start; negative when overdrawn. */
 	int64_t deficit_us;
 	uint32_t weight;
 	char name[PH_NAME_BYTES];
@@ -22,6 +25,7 @@
 	const struct ph_mem *mem;
 	const struct ph_queue_policy *policy;
 	struct team *buckets[TEAM_BUCKETS];
+	/** Team whose turn it is. */
 	struct team *ring;
 	size_t jobs;
 };
@@ -35,7 +39,8 @@
 	return t;
 }
 
-/* Under the baseline policy all jobs stand in one line. */
+/* Finds or adds a job's team. With ph_queue_fifo, all jobs are in one nameless
+ * team. */
 static struct team *team_get(struct ph_queue *queue, const char *key)
 {
 	char name[PH_NAME_BYTES] = "";
@@ -153,7 +158,7 @@
 		ring_remove(queue, t);
 }
 
-/* Grants quanta round the ring until a team can afford a start. */
+/* Grants quanta in turn until a team has run time left for a start. */
 static struct ph_job *fair_pick(struct ph_queue *queue)
 {
 	while (queue->ring->deficit_us <= 0) {
