--- a/fuzz/fuzz_msg.c
+++ b/fuzz/fuzz_msg.c
@@ -1,4 +1,4 @@
-/* Decoder of messages between entry instances. */
+/* Fuzzes the decoder of messages between entry instances. */
 
 #include <stdint.h>
 
@@ -6,9 +6,10 @@
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size)
 {
-	struct ph_decoded_msg *box;
+	struct ph_decoded_msg *decoded;
 
-	if (!ph_msg_decode(ph_mem_default(), (const char *)data, size, &box))
-		ph_decoded_msg_free(box);
+	if (!ph_msg_decode(ph_mem_default(), (const char *)data, size,
+			   &decoded))
+		ph_decoded_msg_free(decoded);
 	return 0;
 }
--- a/src/msg.c
+++ b/src/msg.c
@@ -100,8 +100,8 @@
 	pack_bytes(pk, m->request.body, m->request.body_len);
 }
 
-/* Number of fields behind the header, by type; 0 marks an unknown type. */
-static const uint32_t body_fields[PH_MSG_TYPES] = {
+/* Number of fields after the header, by message type. */
+static const uint32_t body_field_counts[PH_MSG_TYPES] = {
 	[PH_MSG_PING] = 2,   [PH_MSG_PONG] = 3,	       [PH_MSG_REQUEST] = 9,
 	[PH_MSG_REPLY] = 3,  [PH_MSG_RECORDS] = 2,     [PH_MSG_RECORDS_ACK] = 3,
 	[PH_MSG_ROSTER] = 1, [PH_MSG_HANDED_OVER] = 1, [PH_MSG_CONFIG] = 1,
@@ -152,7 +152,7 @@
 
 	ph_buf_put(out, &len, sizeof(len));
 	msgpack_packer_init(&pk, out, buf_write);
-	msgpack_pack_array(&pk, HEADER_FIELDS + body_fields[m->type]);
+	msgpack_pack_array(&pk, HEADER_FIELDS + body_field_counts[m->type]);
 	msgpack_pack_uint32(&pk, PH_MSG_PROTOCOL);
 	msgpack_pack_uint32(&pk, m->type);
 	pack_str(&pk, m->name);
@@ -166,14 +166,15 @@
 	memcpy(out->data + start, &len, sizeof(len));
 }
 
-/* Walks an array of objects; a field of the wrong kind sets err. */
+/* Reads the elements of a msgpack array in order; an element of the wrong type
+ * sets err. */
 struct reader {
 	const msgpack_object *at;
 	size_t left;
 	int err;
 };
 
-static const msgpack_object *next(struct reader *r)
+static const msgpack_object *next_object(struct reader *r)
 {
 	static const msgpack_object nil = { .type = MSGPACK_OBJECT_NIL };
 
@@ -187,7 +188,7 @@
 
 static uint64_t get_uint(struct reader *r, uint64_t max)
 {
-	const msgpack_object *o = next(r);
+	const msgpack_object *o = next_object(r);
 
 	if (o->type != MSGPACK_OBJECT_POSITIVE_INTEGER || o->via.u64 > max) {
 		r->err = PH_ERR_SYNTAX;
@@ -198,7 +199,7 @@
 
 static int32_t get_int(struct reader *r)
 {
-	const msgpack_object *o = next(r);
+	const msgpack_object *o = next_object(r);
 
 	if (o->type == MSGPACK_OBJECT_POSITIVE_INTEGER &&
 	    o->via.u64 <= INT32_MAX)
@@ -212,7 +213,7 @@
 
 static bool get_bool(struct reader *r)
 {
-	const msgpack_object *o = next(r);
+	const msgpack_object *o = next_object(r);
 
 	if (o->type != MSGPACK_OBJECT_BOOLEAN)
 		r->err = PH_ERR_SYNTAX;
@@ -221,7 +222,7 @@
 
 static const char *get_bytes(struct reader *r, size_t *len)
 {
-	const msgpack_object *o = next(r);
+	const msgpack_object *o = next_object(r);
 
 	*len = 0;
 	if (o->type == MSGPACK_OBJECT_NIL)
@@ -234,7 +235,8 @@
 	return o->via.bin.ptr;
 }
 
-/* Strings travel with their NUL, so that they can be borrowed in place. */
+/* Strings are encoded with their terminating NUL, so that they can be borrowed
+ * in place. */
 static const char *get_str(struct reader *r)
 {
 	size_t len;
@@ -248,7 +250,7 @@
 
 static struct reader get_array(struct reader *r, size_t max)
 {
-	const msgpack_object *o = next(r);
+	const msgpack_object *o = next_object(r);
 	struct reader inner = { NULL, 0, 0 };
 
 	if (o->type != MSGPACK_OBJECT_ARRAY || o->via.array.size > max) {
@@ -413,8 +415,8 @@
 	return err ? err : r->err;
 }
 
-/* Length of the payload behind a type byte, or of its count if it is an
- * array; SIZE_MAX for a type that no message uses. */
+/* Number of bytes after a type byte that hold the integer, or the length of a
+ * binary or an array; SIZE_MAX for a type that no message uses. */
 static size_t token_bytes(uint8_t type)
 {
 	if (type <= 0x7f || type >= 0xe0 || (type & 0xf0) == 0x90)
@@ -456,8 +458,8 @@
 	return value;
 }
 
-/* The unpacker takes memory for as many elements as an array declares, so
- * what is declared is held against the bytes that are there first. */
+/* The unpacker allocates memory for as many elements as an array declares, so
+ * declared sizes are checked against the bytes at hand before unpacking. */
 bool ph_msg_sizes_valid(const char *bytes, size_t len)
 {
 	const uint8_t *data = (const uint8_t *)bytes;
@@ -495,44 +497,44 @@
 int ph_msg_decode(const struct ph_mem *mem, const char *data, size_t len,
 		  struct ph_decoded_msg **out)
 {
-	struct ph_decoded_msg *box;
+	struct ph_decoded_msg *decoded;
 	struct reader r = { NULL, 0, 0 };
 	size_t used = 0;
 	int err = PH_ERR_SYNTAX;
 
 	if (!ph_msg_sizes_valid(data, len))
 		return PH_ERR_SYNTAX;
-	box = mem->calloc(1, sizeof(*box));
-	box->mem = mem;
-	box->data = ph_memdup(mem, data, len);
-	msgpack_unpacked_init(&box->unpacked);
-	if (msgpack_unpack_next(&box->unpacked, box->data, len, &used) !=
-	    MSGPACK_UNPACK_SUCCESS)
+	decoded = mem->calloc(1, sizeof(*decoded));
+	decoded->mem = mem;
+	decoded->data = ph_memdup(mem, data, len);
+	msgpack_unpacked_init(&decoded->unpacked);
+	if (msgpack_unpack_next(&decoded->unpacked, decoded->data, len,
+				&used) != MSGPACK_UNPACK_SUCCESS)
 		goto out;
-	if (used != len || box->unpacked.data.type != MSGPACK_OBJECT_ARRAY)
+	if (used != len || decoded->unpacked.data.type != MSGPACK_OBJECT_ARRAY)
 		goto out;
-	r.at = box->unpacked.data.via.array.ptr;
-	r.left = box->unpacked.data.via.array.size;
-	err = get_msg(&r, &box->msg, box->unpacked.zone);
+	r.at = decoded->unpacked.data.via.array.ptr;
+	r.left = decoded->unpacked.data.via.array.size;
+	err = get_msg(&r, &decoded->msg, decoded->unpacked.zone);
 out:
 	if (err) {
-		ph_decoded_msg_free(box);
+		ph_decoded_msg_free(decoded);
 		return err;
 	}
-	*out = box;
+	*out = decoded;
 	return 0;
 }
 
-const struct ph_msg *ph_decoded_msg_get(const struct ph_decoded_msg *box)
+const struct ph_msg *ph_decoded_msg_get(const struct ph_decoded_msg *decoded)
 {
-	return &box->msg;
+	return &decoded->msg;
 }
 
-void ph_decoded_msg_free(struct ph_decoded_msg *box)
+void ph_decoded_msg_free(struct ph_decoded_msg *decoded)
 {
-	if (!box)
+	if (!decoded)
 		return;
-	msgpack_unpacked_destroy(&box->unpacked);
-	box->mem->free(box->data);
-	box->mem->free(box);
+	msgpack_unpacked_destroy(&decoded->unpacked);
+	decoded->mem->free(decoded->data);
+	decoded->mem->free(decoded);
 }
--- a/test/test_msg.cc
+++ b/test/test_msg.cc
@@ -36,12 +36,12 @@
 
 int decode(const std::string &frame)
 {
-	struct ph_decoded_msg *box = nullptr;
+	struct ph_decoded_msg *decoded = nullptr;
 	int err = ph_msg_decode(ph_mem_default(), frame.data(), frame.size(),
-				&box);
+				&decoded);
 
 	if (!err)
-		ph_decoded_msg_free(box);
+		ph_decoded_msg_free(decoded);
 	return err;
 }
 
@@ -71,23 +71,23 @@
 	return encode(m);
 }
 
-TEST(Msg, EveryTypeComesBack)
+TEST(Msg, DecodesEveryEncodedType)
 {
 	for (int type = 1; type < PH_MSG_TYPES; type++) {
 		std::string frame = sample(type);
-		struct ph_decoded_msg *box = nullptr;
+		struct ph_decoded_msg *decoded = nullptr;
 
 		ASSERT_EQ(ph_msg_decode(ph_mem_default(), frame.data(),
-					frame.size(), &box),
+					frame.size(), &decoded),
 			  0)
 			<< type;
-		EXPECT_EQ(ph_decoded_msg_get(box)->type, type);
-		EXPECT_EQ(ph_decoded_msg_get(box)->incarnation, 7u);
-		ph_decoded_msg_free(box);
+		EXPECT_EQ(ph_decoded_msg_get(decoded)->type, type);
+		EXPECT_EQ(ph_decoded_msg_get(decoded)->incarnation, 7u);
+		ph_decoded_msg_free(decoded);
 	}
 }
 
-TEST(Msg, EveryTruncationIsRefused)
+TEST(Msg, RejectsTruncatedAndOverlongFrames)
 {
 	for (int type = 1; type < PH_MSG_TYPES; type++) {
 		std::string frame = sample(type);
@@ -106,10 +106,10 @@
 	int err;
 };
 
-TEST(Msg, BadHeadersAreRefused)
+TEST(Msg, RejectsInvalidHeaders)
 {
 	const BadCase cases[] = {
-		{ "another protocol", 1, 2, PH_ERR_VERSION },
+		{ "another protocol version", 1, 2, PH_ERR_VERSION },
 		{ "type 0", 2, 0, PH_ERR_SYNTAX },
 		{ "an unknown type", 2, 0x7f, PH_ERR_SYNTAX },
 		{ "not an array", 0, 0x01, PH_ERR_SYNTAX },
@@ -123,7 +123,7 @@
 	}
 }
 
-TEST(Msg, DeclaredSizesAreHeldAgainstTheBytes)
+TEST(Msg, RejectsDeclaredSizesBeyondFrameEnd)
 {
 	const std::string cases[] = {
 		std::string("\xdd\xdd\xdd\xdd\x85", 5),
