--- a/src/entry_requests.c
+++ b/src/entry_requests.c
@@ -566,7 +566,7 @@
 }
 
 /* Routes or serves a request. Returns true and frees or passes on h if it was
- * answered, relayed or accepted; else h stays the caller's. */
+ * answered, relayed or accepted; else the calling function still owns h. */
 static bool try_request(struct ph_core *core, uint64_t now_us,
 			struct ph_held *h)
 {
@@ -592,9 +592,9 @@
 	return false;
 }
 
-static void request_new(struct ph_core *core, uint64_t now_us,
-			const struct ph_waiter *origin, uint32_t hops,
-			const struct ph_request *request)
+static void handle_request(struct ph_core *core, uint64_t now_us,
+			   const struct ph_waiter *origin, uint32_t hops,
+			   const struct ph_request *request)
 {
 	struct ph_held *h = held_new(core, now_us, origin, hops, request);
 
@@ -643,7 +643,7 @@
 		ph_requests_pending(core, &origin);
 		return;
 	}
-	request_new(core, now_us, &origin, 0, request);
+	handle_request(core, now_us, &origin, 0, request);
 	ph_replicate_flush(core, now_us);
 }
 
@@ -661,7 +661,7 @@
 		ph_requests_pending(core, &origin);
 		return;
 	}
-	request_new(core, now_us, &origin, msg->hops, &msg->request);
+	handle_request(core, now_us, &origin, msg->hops, &msg->request);
 }
 
 void ph_requests_forward_waiters(struct ph_core *core, uint64_t now_us,
--- a/src/ledger.c
+++ b/src/ledger.c
@@ -433,7 +433,7 @@
 				void *ctx)
 {
 	struct ph_task *task = &job->live->tasks[from->index];
-	bool mine = task->starter == self;
+	bool started_here = task->starter == self;
 	bool same_starter = task->starter == from->starter;
 
 	if (from->state > PH_TASK_DONE || from->state < PH_TASK_STARTED)
@@ -446,9 +446,9 @@
 	if (task->state == from->state &&
 	    (same_starter || from->state == PH_TASK_NOT_RUN))
 		return PH_MERGE_UNCHANGED;
-	/* The local not-run has not been sent to any caller yet, so any other
-	 * state of another instance replaces it. A start by the same starter
-	 * doesn't: it is older than the starter's own not-run. */
+	/* The local not-run has not been sent to any caller yet, so another
+	 * state replaces it; but a start by the same starter is older than
+	 * this not-run, and doesn't. */
 	if (task->state == PH_TASK_NOT_RUN && from->state != PH_TASK_NOT_RUN &&
 	    (from->state != PH_TASK_STARTED || !same_starter)) {
 		apply_task_record(ledger, job, from);
@@ -459,7 +459,7 @@
 	if (task->state == PH_TASK_STARTED && from->state == PH_TASK_NOT_RUN &&
 	    !same_starter)
 		return PH_MERGE_CONFLICT;
-	if (task->state == PH_TASK_STARTED && mine)
+	if (task->state == PH_TASK_STARTED && started_here)
 		return PH_MERGE_CONFLICT;
 	if (task->state == PH_TASK_STARTED && from->state == PH_TASK_STARTED)
 		return PH_MERGE_CONFLICT;
--- a/test/model/ledger.pml
+++ b/test/model/ledger.pml
@@ -35,7 +35,7 @@
 bool has_first[3];		/* has received the first attempt */
 bool has_later[3];		/* has received a later attempt */
 bool has_record[3];		/* has the job's record */
-bool start_recorded[3];		/* knows that the task may have started */
+bool start_recorded[3];		/* has recorded that it may have started */
 bool accepted_first[3];		/* accepted the job by its first attempt */
 bool unreplicated[3];		/* started solo, the partner lacks the start */
 bool died_clean[3];		/* dead without a start that only it recorded */
