--- a/src/entry_core.h
+++ b/src/entry_core.h
@@ -166,8 +166,8 @@
 
 /** Replaces a service's list of endpoints; an empty list is ignored. */
 void ph_core_set_endpoints(struct ph_core *core, uint64_t now_us,
-			   const char *service, const struct ph_listed *listed,
-			   size_t count);
+			   const char *service,
+			   const struct ph_endpoint_info *listed, size_t count);
 
 /** Handles a local caller's request; sink->reply gets one answer to token. */
 void ph_core_request(struct ph_core *core, uint64_t now_us, uint64_t token,
--- a/src/entry_membership.c
+++ b/src/entry_membership.c
@@ -27,8 +27,9 @@
 	size_t i;
 
 	for (i = 0; i < core->service_queue_count; i++)
-		ph_endpoints_share(core->service_queues[i].endpoints,
-				   &core->roster, ph_membership_self(core));
+		ph_endpoints_share_slots(core->service_queues[i].endpoints,
+					 &core->roster,
+					 ph_membership_self(core));
 }
 
 static bool is_holder(const struct ph_roster *roster, uint64_t incarnation,
@@ -336,7 +337,8 @@
 }
 
 /* Proposes a roster with one entry less on the lost list: that of a member that
- * has handed over its records, or whose jobs are past their retention period.
+ * has handed over its records, or whose jobs are past their retention
+ * period.
  */
 static bool clear_lost(struct ph_core *core, uint64_t now_us)
 {
@@ -361,9 +363,9 @@
 			       const struct ph_msg *msg)
 {
 	(void)now_us;
-	if (msg->incarnation == msg->subject &&
+	if (msg->incarnation == msg->subject_incarnation &&
 	    msg->roster_version == core->roster.version)
-		core->handed_over_id = msg->subject;
+		core->handed_over_id = msg->subject_incarnation;
 }
 
 static bool is_own_earlier_incarnation(const struct ph_core *core,
@@ -467,7 +469,7 @@
 		if (now_us < p->roster_sent_us + HANDED_OVER_INTERVAL_US)
 			continue;
 		p->roster_sent_us = now_us;
-		msg.subject = core->self.incarnation;
+		msg.subject_incarnation = core->self.incarnation;
 		ph_core_send(core, p->m.addr, &msg);
 	}
 }
--- a/src/entry_replication.c
+++ b/src/entry_replication.c
@@ -189,7 +189,7 @@
  * the first that carries the start of each bound task. */
 static void note_first_seq(struct ph_job *job, uint64_t seq)
 {
-	struct ph_live *live = job->live;
+	struct ph_live_job *live = job->live;
 	uint32_t i;
 
 	if (!live)
@@ -221,8 +221,8 @@
 	msg->records = core->mem->calloc(count, sizeof(*msg->records));
 	msg->count = count;
 	for (i = 0; i < count; i++) {
-		ph_job_record(jobs[i], now_us, !(jobs[i]->seen & bit),
-			      &msg->records[i], *tasks + used);
+		ph_job_fill_record(jobs[i], now_us, !(jobs[i]->seen & bit),
+				   &msg->records[i], *tasks + used);
 		used += msg->records[i].count;
 	}
 }
@@ -336,7 +336,7 @@
 				 struct ph_job *job, const struct ph_record *r)
 {
 	if (job->ended && !job->live)
-		return PH_MERGE_SAME;
+		return PH_MERGE_UNCHANGED;
 	if (job->ended)
 		ph_job_reopen(&core->ledger, job);
 	if (has_local_starts(core, job))
@@ -347,8 +347,7 @@
 			ph_core_service_queue(core, job->live->service)->queue,
 			job);
 	job->cancelled = r->cancelled;
-	ph_job_adopt_answer(&core->ledger, job, now_us, r->answer,
-			    r->answer_len);
+	ph_job_set_answer(&core->ledger, job, now_us, r->answer, r->answer_len);
 	ph_dispatch_answer(core, now_us, job);
 	return PH_MERGE_CHANGED;
 }
@@ -377,7 +376,7 @@
 	if (job->ended)
 		ph_job_reopen(&core->ledger, job);
 	if (!ph_rule(core, PH_RULE_MERGE))
-		return PH_MERGE_SAME;
+		return PH_MERGE_UNCHANGED;
 	if (r->cancelled)
 		job->cancelled = true;
 	return merge_tasks(core, job, r);
