--- a/fuzz/fuzz_wire.c
+++ b/fuzz/fuzz_wire.c
@@ -1,4 +1,4 @@
-/* Decoders of the platform's formats. */
+/* Feeds the decoders of the platform's formats with arbitrary bytes. */
 
 #include <stdint.h>
 
@@ -9,17 +9,17 @@
 	const struct ph_mem *mem = ph_mem_default();
 	const char *text = (const char *)data;
 	struct ph_routing *routing = NULL;
-	struct ph_batch_request *work = NULL;
+	struct ph_batch_request *batch = NULL;
 	struct ph_executor_info info;
 	struct ph_poll_reply poll;
 	struct ph_wire_items items;
-	const char *phrase;
+	const char *reason;
 
-	if (!ph_wire_config(mem, text, size, &routing))
+	if (!ph_wire_read_config(mem, text, size, &routing))
 		ph_routing_free(routing);
-	ph_wire_job(mem, text, size, &work, &phrase);
-	ph_batch_request_free(mem, work);
-	ph_wire_executor("i-1", text, size, &info);
+	ph_wire_read_job(mem, text, size, &batch, &reason);
+	ph_batch_request_free(mem, batch);
+	ph_wire_read_executor("i-1", text, size, &info);
 	ph_wire_poll_reply(mem, 200, text, size, &poll);
 	ph_wire_poll_clear(mem, &poll);
 	if (!ph_wire_read_items(mem, text, size, &items))
--- a/test/test_wire.cc
+++ b/test/test_wire.cc
@@ -18,18 +18,18 @@
 /* ## Jobs */
 
 struct JobCase {
-	const char *what;
+	const char *description;
 	const char *body;
-	ph_wire_job_fault fault;
+	ph_wire_job_error error;
 };
 
-TEST(Wire, JobsAreReadOrRefusedWithAReason)
+TEST(Wire, JobIsDecodedOrRejectedWithAReason)
 {
 	const JobCase cases[] = {
 		{ "one step",
 		  R"({"spec":"x","bestEffort":true,"steps":[{"count":2,"cpu":6800,"memMb":64,"estimateMs":60}]})",
 		  PH_WIRE_JOB_OK },
-		{ "stored", R"({"spec":"x","steps":[{"count":2}]})",
+		{ "not best effort", R"({"spec":"x","steps":[{"count":2}]})",
 		  PH_WIRE_JOB_UNSUPPORTED },
 		{ "two steps",
 		  R"({"spec":"x","bestEffort":true,"steps":[{"count":2},{"count":1,"after":[0]}]})",
@@ -49,41 +49,41 @@
 		  PH_WIRE_JOB_INVALID },
 		{ "no spec", R"({"bestEffort":true,"steps":[{"count":1}]})",
 		  PH_WIRE_JOB_INVALID },
-		{ "broken", R"({"spec":)", PH_WIRE_JOB_INVALID },
+		{ "truncated JSON", R"({"spec":)", PH_WIRE_JOB_INVALID },
 		{ "an array", "[]", PH_WIRE_JOB_INVALID },
-		{ "nothing", "", PH_WIRE_JOB_INVALID },
+		{ "an empty body", "", PH_WIRE_JOB_INVALID },
 	};
 
 	for (const JobCase &c : cases) {
-		SCOPED_TRACE(c.what);
-		const char *phrase = nullptr;
-		ph_batch_request *w = nullptr;
-
-		EXPECT_EQ(
-			ph_wire_job(mem(), c.body, strlen(c.body), &w, &phrase),
-			c.fault);
-		EXPECT_EQ(phrase == nullptr, c.fault == PH_WIRE_JOB_OK);
-		if (w) {
-			EXPECT_EQ(w->count, 2U);
-			EXPECT_EQ(w->need.cpu_milli, 6800U);
-			EXPECT_EQ(w->estimate_us, 60000U);
+		SCOPED_TRACE(c.description);
+		const char *reason = nullptr;
+		ph_batch_request *batch = nullptr;
+
+		EXPECT_EQ(ph_wire_read_job(mem(), c.body, strlen(c.body),
+					   &batch, &reason),
+			  c.error);
+		EXPECT_EQ(reason == nullptr, c.error == PH_WIRE_JOB_OK);
+		if (batch) {
+			EXPECT_EQ(batch->count, 2U);
+			EXPECT_EQ(batch->need.cpu_milli, 6800U);
+			EXPECT_EQ(batch->estimate_us, 60000U);
 		}
-		ph_batch_request_free(mem(), w);
+		ph_batch_request_free(mem(), batch);
 	}
 }
 
-TEST(Wire, AnIdHasSixteenHexadecimalDigits)
+TEST(Wire, JobIdIsSixteenHexadecimalDigits)
 {
-	EXPECT_TRUE(ph_wire_job_id("5c0e7a21d94b36f8"));
-	EXPECT_FALSE(ph_wire_job_id("5c0e7a21d94b36f"));
-	EXPECT_FALSE(ph_wire_job_id("5c0e7a21d94b36f80"));
-	EXPECT_FALSE(ph_wire_job_id("5c0e7a21d94b36fx"));
-	EXPECT_FALSE(ph_wire_job_id(""));
+	EXPECT_TRUE(ph_wire_is_job_id("5c0e7a21d94b36f8"));
+	EXPECT_FALSE(ph_wire_is_job_id("5c0e7a21d94b36f"));
+	EXPECT_FALSE(ph_wire_is_job_id("5c0e7a21d94b36f80"));
+	EXPECT_FALSE(ph_wire_is_job_id("5c0e7a21d94b36fx"));
+	EXPECT_FALSE(ph_wire_is_job_id(""));
 }
 
 /* ## Configuration */
 
-TEST(Wire, RoutesWithoutTheirFieldsAreLeftOut)
+TEST(Wire, RouteWithInvalidFieldIsSkipped)
 {
 	const std::string doc =
 		R"({"version":7,"routes":[)"
@@ -92,7 +92,8 @@
 		R"({"name":"bad","host":5,"prefix":"/p/","service":"s"}],"other":1})";
 	ph_routing *routing = nullptr;
 
-	ASSERT_EQ(ph_wire_config(mem(), doc.data(), doc.size(), &routing), 0);
+	ASSERT_EQ(ph_wire_read_config(mem(), doc.data(), doc.size(), &routing),
+		  0);
 	EXPECT_EQ(routing->version, 7U);
 	ASSERT_EQ(routing->route_count, 1U);
 	EXPECT_EQ(routing->routes[0].stretch_percent, 160U);
@@ -101,37 +102,39 @@
 	ph_routing_free(routing);
 }
 
-TEST(Wire, DocumentsThatAreNoConfigurationAreRefused)
+TEST(Wire, InvalidConfigurationIsRejected)
 {
 	for (const char *doc :
 	     { "", "[]", "{", R"({"routes":[]})", R"({"version":1})",
 	       R"({"version":"1","routes":[]})" }) {
 		ph_routing *routing = nullptr;
 
-		EXPECT_NE(ph_wire_config(mem(), doc, strlen(doc), &routing), 0)
+		EXPECT_NE(
+			ph_wire_read_config(mem(), doc, strlen(doc), &routing),
+			0)
 			<< doc;
 	}
 }
 
 /* ## Executors */
 
-struct EntryCase {
-	const char *what;
+struct ExecutorCase {
+	const char *description;
 	const char *text;
 	bool usable;
 	bool draining;
 };
 
-TEST(Wire, OnlyWholeEntriesNameAnExecutor)
+TEST(Wire, IncompleteExecutorEntryIsRejected)
 {
-	const EntryCase cases[] = {
-		{ "whole",
+	const ExecutorCase cases[] = {
+		{ "complete",
 		  R"({"service":"s","address":"1.2.3.4:5","zone":"z","state":"ready","capacity":{"cpu":16000,"memMb":1},"labels":["a","r1-3"],"slots":8})",
 		  true, false },
 		{ "draining",
 		  R"({"service":"s","address":"1.2.3.4:5","zone":"z","state":"draining","capacity":{"cpu":16000,"memMb":1}})",
 		  true, true },
-		{ "a state that isn't known",
+		{ "an unknown state",
 		  R"({"service":"s","address":"1.2.3.4:5","zone":"z","state":"odd","capacity":{"cpu":16000,"memMb":1}})",
 		  false, false },
 		{ "no address",
@@ -146,13 +149,13 @@
 		{ "no JSON", "\x01\x02", false, false },
 	};
 
-	for (const EntryCase &c : cases) {
-		SCOPED_TRACE(c.what);
+	for (const ExecutorCase &c : cases) {
+		SCOPED_TRACE(c.description);
 		ph_executor_info info;
 
-		EXPECT_EQ(
-			!ph_wire_executor("i-1", c.text, strlen(c.text), &info),
-			c.usable);
+		EXPECT_EQ(!ph_wire_read_executor("i-1", c.text, strlen(c.text),
+						 &info),
+			  c.usable);
 		if (c.usable) {
 			EXPECT_EQ(info.draining, c.draining);
 		}
@@ -165,7 +168,7 @@
 	ph_call_status result;
 };
 
-TEST(Wire, RepliesToOrdersSayWhatHasHappened)
+TEST(Wire, ReplyStatusAndReasonGiveTheCallStatus)
 {
 	const ReplyCase cases[] = {
 		{ 200, R"({"clockMs":5})", PH_CALL_OK },
@@ -189,7 +192,7 @@
 	}
 }
 
-TEST(Wire, ALookShowsRunsAndEnds)
+TEST(Wire, PollReplyListsRunningAndEndedRuns)
 {
 	const std::string body =
 		R"({"clockMs":482113,"born":1700,"running":[)"
@@ -211,7 +214,7 @@
 	ph_wire_poll_clear(mem(), &reply);
 }
 
-TEST(Wire, StoreItemsAndEvents)
+TEST(Wire, StoreItemsAreDecodedAndRemovedKeysHaveNoValue)
 {
 	const std::string body =
 		R"({"items":[{"key":"a","value":"bm9kZS0x","revision":4},{"key":"b","tombstone":true,"revision":5},{"value":""}],)"
@@ -229,8 +232,9 @@
 	ph_wire_items_clear(mem(), &items);
 }
 
-/* Bytes of any kind: nothing to expect but that every decoder returns. */
-TEST(Wire, DecodersStandDamagedBytes)
+/* Replaces each byte of a valid document in turn. The results are not checked:
+ * every decoder has to return without a memory error. */
+TEST(Wire, DecodersReturnOnCorruptDocuments)
 {
 	const std::string good =
 		R"({"version":7,"routes":[{"host":"h"}],"spec":"x","steps":[{"count":2}],"items":[{"key":"a","value":"bm9kZS0x"}],"running":[["a.0.0.1",2,"",4]],"ended":[[1,"a.0.0.1",1,"done",""]]})";
@@ -239,20 +243,21 @@
 		for (char c : { '\0', '"', '[', '}', '9', '-', '\xff' }) {
 			std::string bad = good;
 			ph_routing *routing = nullptr;
-			ph_batch_request *work = nullptr;
-			const char *phrase;
+			ph_batch_request *batch = nullptr;
+			const char *reason;
 			ph_executor_info info;
 			ph_poll_reply poll;
 			ph_wire_items items;
 
 			bad[at] = c;
-			if (!ph_wire_config(mem(), bad.data(), bad.size(),
-					    &routing))
+			if (!ph_wire_read_config(mem(), bad.data(), bad.size(),
+						 &routing))
 				ph_routing_free(routing);
-			ph_wire_job(mem(), bad.data(), bad.size(), &work,
-				    &phrase);
-			ph_batch_request_free(mem(), work);
-			ph_wire_executor("i", bad.data(), bad.size(), &info);
+			ph_wire_read_job(mem(), bad.data(), bad.size(), &batch,
+					 &reason);
+			ph_batch_request_free(mem(), batch);
+			ph_wire_read_executor("i", bad.data(), bad.size(),
+					      &info);
 			ph_wire_poll_reply(mem(), 200, bad.data(), bad.size(),
 					   &poll);
 			ph_wire_poll_clear(mem(), &poll);
