--- a/test/standin_fleet.c
+++ b/test/standin_fleet.c
@@ -1,9 +1,10 @@
 /*
- * A stand-in for the users' platform: its store, executors that keep leases,
- * and callers that send jobs, in one process that sees both ends. It checks
- * while it runs that no task runs twice at once and that a refusal that says
- * "not run" is true. Speaks what platform/ speaks; faults come from outside,
- * and from POST /standin/mode.
+ * A stand-in for the platform that peridothall-dispatch runs on: its store,
+ * executors with leases, and callers that submit jobs, all in one process that
+ * sees both ends. While it runs it checks that no two runs of a task overlap,
+ * and that no task of a job was started whose caller was told that it has not
+ * run. Uses the formats of platform/. Faults are injected from outside the
+ * process and by POST /standin/mode; GET /standin/report returns the counts.
  */
 
 #include <stdio.h>
@@ -28,17 +29,22 @@
 #define JOBS_MAX 20000
 #define RUNS_MAX 64
 #define ENDS_MAX 4096
-#define LOOKS_MAX 16
-#define TOPS_MAX 32768
+#define POLLS_MAX 16
+#define TASKS_MAX 32768
 #define KEYS_MAX 64
 #define ENTRIES_MAX 16
 #define TASK_BYTES 64
 #define TICK_US 5000
 #define US_PER_MS 1000U
-#define CORES_MILLI 16000U
-#define HOLD_MAX_US 1000000U
-#define LATE_US 2500000U
-#define RESEND_US 1300000U
+/* CPU of one executor in millicores; a run takes up half of it. */
+#define EXECUTOR_CPU_MILLI 16000U
+/* Longest lease that a poll can set. */
+#define LEASE_MAX_US 1000000U
+/* Delay of starts at an executor in the mode "late". */
+#define LATE_START_DELAY_US 2500000U
+/* Delay before a caller submits a job again whose outcome is unknown, and the
+ * most attempts for one job. */
+#define RESUBMIT_DELAY_US 1300000U
 #define ATTEMPTS_MAX 4
 
 struct run {
@@ -48,6 +54,7 @@
 	uint32_t cpu;
 };
 
+/* A run that has ended; number is the sequence number at its executor. */
 struct end {
 	uint64_t number;
 	char task[TASK_BYTES];
@@ -55,13 +62,16 @@
 	const char *how;
 };
 
-struct look {
+/* A long poll that is not answered yet. */
+struct long_poll {
 	struct ph_http_req *req;
 	uint64_t until_us;
-	uint64_t seen;
+	/** Ends up to this number are acknowledged. */
+	uint64_t ends_seen;
 };
 
-struct top {
+/* Highest run number of a task that was started or stopped at an executor. */
+struct highest_run {
 	char task[TASK_BYTES];
 	uint64_t run;
 };
@@ -72,30 +82,47 @@
 	const char *zone;
 	struct ph_httpd *httpd;
 	uint64_t started_ms;
+	/** Highest fencing token seen. */
 	uint64_t token;
-	uint64_t lease_us;
+	/** End of the lease of all runs. */
+	uint64_t lease_until_us;
 	struct run runs[RUNS_MAX];
 	size_t run_count;
 	struct end ends[ENDS_MAX];
 	size_t end_count;
-	uint64_t next_end;
-	struct top *tops;
-	size_t top_count;
-	struct look looks[LOOKS_MAX];
+	/** Number of the last end. */
+	uint64_t last_end;
+	struct highest_run *highest_runs;
+	size_t task_count;
+	struct long_poll polls[POLLS_MAX];
 	bool draining;
-	/** Carries starts out late and does not answer them. */
-	bool late;
-	bool fails;
+	/** Breaks the connection of start requests and carries them out after
+	 * LATE_START_DELAY_US. */
+	bool delays_starts;
+	/** Every run fails after 5 ms. */
+	bool fails_runs;
 };
 
+/* A start request that is carried out later. */
 struct late_start {
 	struct late_start *next;
 	struct executor *x;
+	/** When it is carried out. */
 	uint64_t at_us;
-	json_t *order;
+	json_t *command;
 };
 
-enum job_state { JOB_WAITING, JOB_SENT, JOB_DONE, JOB_REFUSED, JOB_LOST };
+enum job_state {
+	/** Waits to be submitted again. */
+	JOB_WAITING,
+	JOB_SENT,
+	/** Answered as completed or failed. */
+	JOB_DONE,
+	/** Answered as not run. */
+	JOB_REFUSED,
+	/** No known outcome after ATTEMPTS_MAX attempts. */
+	JOB_LOST,
+};
 
 struct job {
 	char id[24];
@@ -104,9 +131,10 @@
 	uint32_t run_ms;
 	uint32_t attempts;
 	uint64_t due_us;
+	/** An executor has started a task of it. */
 	bool started;
-	/** Some attempt ended without a word on whether it has run. */
-	bool unsure;
+	/** An earlier attempt may have run: its outcome is unknown. */
+	bool may_have_run;
 };
 
 struct key {
@@ -121,7 +149,7 @@
 	apr_pool_t *pool;
 	struct executor executors[EXECUTORS_MAX];
 	size_t executor_count;
-	struct late_start *late;
+	struct late_start *late_starts;
 	struct key keys[KEYS_MAX];
 	size_t key_count;
 	uint64_t revision;
@@ -133,22 +161,24 @@
 	size_t entry_count;
 	struct job *jobs;
 	size_t job_count;
-	uint64_t every_us;
-	uint64_t next_us;
+	uint64_t job_interval_us;
+	uint64_t next_job_us;
 	bool sending;
-	uint64_t twice;
+	/** Starts of a task while another run of it was in progress. */
+	uint64_t overlapping_runs;
 	uint64_t starts;
-	uint64_t wrong;
-} f;
+	/** Answers with status 200 and an unknown body. */
+	uint64_t invalid_answers;
+} fleet;
 
-static void locked(void)
+static void lock(void)
 {
-	apr_thread_mutex_lock(f.lock);
+	apr_thread_mutex_lock(fleet.lock);
 }
 
-static void unlocked(void)
+static void unlock(void)
 {
-	apr_thread_mutex_unlock(f.lock);
+	apr_thread_mutex_unlock(fleet.lock);
 }
 
 static void reply_json(struct ph_http_req *req, int status, json_t *doc)
@@ -170,35 +200,39 @@
 
 /* ## Executors */
 
-static struct job *job_of(const char *task)
+/* The job of a task's name, which begins with the job's id of 16 digits. */
+static struct job *find_job(const char *task)
 {
 	size_t i;
 
-	for (i = f.job_count; i > 0; i--)
-		if (!strncmp(f.jobs[i - 1].id, task, 16))
-			return &f.jobs[i - 1];
+	for (i = fleet.job_count; i > 0; i--)
+		if (!strncmp(fleet.jobs[i - 1].id, task, 16))
+			return &fleet.jobs[i - 1];
 	return NULL;
 }
 
-static struct top *top_of(struct executor *x, const char *task)
+/* The task's entry, which is added if there is none. When the table is full it
+ * starts over empty. */
+static struct highest_run *highest_run_of(struct executor *x, const char *task)
 {
 	size_t i;
 
-	for (i = 0; i < x->top_count; i++)
-		if (!strcmp(x->tops[i].task, task))
-			return &x->tops[i];
-	if (x->top_count == TOPS_MAX)
-		x->top_count = 0;
-	ph_strcopy(x->tops[x->top_count].task, TASK_BYTES, task);
-	x->tops[x->top_count].run = 0;
-	return &x->tops[x->top_count++];
+	for (i = 0; i < x->task_count; i++)
+		if (!strcmp(x->highest_runs[i].task, task))
+			return &x->highest_runs[i];
+	if (x->task_count == TASKS_MAX)
+		x->task_count = 0;
+	ph_strcopy(x->highest_runs[x->task_count].task, TASK_BYTES, task);
+	x->highest_runs[x->task_count].run = 0;
+	return &x->highest_runs[x->task_count++];
 }
 
-static void run_end(struct executor *x, size_t i, const char *how)
+/* Ends run i; how is the value on the wire. */
+static void end_run(struct executor *x, size_t i, const char *how)
 {
 	struct end *e = &x->ends[x->end_count % ENDS_MAX];
 
-	e->number = ++x->next_end;
+	e->number = ++x->last_end;
 	ph_strcopy(e->task, TASK_BYTES, x->runs[i].task);
 	e->run = x->runs[i].run;
 	e->how = how;
@@ -206,29 +240,32 @@
 	x->runs[i] = x->runs[--x->run_count];
 }
 
-static void count_twice(const char *task)
+/* Counts the runs of the task that are in progress anywhere. */
+static void check_overlap(const char *task)
 {
 	size_t i;
 	size_t k;
 
-	for (i = 0; i < f.executor_count; i++)
-		for (k = 0; k < f.executors[i].run_count; k++)
-			if (!strcmp(f.executors[i].runs[k].task, task)) {
-				printf("TWICE %s on %s\n", task,
-				       f.executors[i].id);
-				f.twice++;
+	for (i = 0; i < fleet.executor_count; i++)
+		for (k = 0; k < fleet.executors[i].run_count; k++)
+			if (!strcmp(fleet.executors[i].runs[k].task, task)) {
+				printf("task %s is started while it "
+				       "runs on %s\n",
+				       task, fleet.executors[i].id);
+				fleet.overlapping_runs++;
 			}
 }
 
-/* Returns the reason of a refusal, or NULL. */
+/* Returns the reason for which the start is refused, or NULL. */
 static const char *carry_out_start(struct executor *x, const json_t *o)
 {
 	uint64_t token = ph_json_number(o, "fencingToken", 0);
+	/* The end of the executor's lease. */
 	uint64_t until_ms = ph_json_number(o, "deadlineMs", 0);
 	const char *task = json_string_value(json_object_get(o, "task"));
 	const char *spec = json_string_value(json_object_get(o, "spec"));
 	uint64_t run = ph_json_number(o, "run", 0);
-	struct top *top;
+	struct highest_run *highest;
 	struct job *job;
 	struct run *r;
 	size_t i;
@@ -238,27 +275,27 @@
 	x->token = token;
 	if (until_ms && until_ms < clock_ms())
 		return "late";
-	if (until_ms * US_PER_MS > x->lease_us)
-		x->lease_us = until_ms * US_PER_MS;
-	top = top_of(x, task);
-	if (run <= top->run)
+	if (until_ms * US_PER_MS > x->lease_until_us)
+		x->lease_until_us = until_ms * US_PER_MS;
+	highest = highest_run_of(x, task);
+	if (run <= highest->run)
 		return "old";
-	if ((x->run_count + 1) * (CORES_MILLI / 2) > CORES_MILLI)
+	if ((x->run_count + 1) * (EXECUTOR_CPU_MILLI / 2) > EXECUTOR_CPU_MILLI)
 		return "room";
 	for (i = 0; i < x->run_count; i++)
 		if (!strcmp(x->runs[i].task, task) && x->runs[i].run == run)
 			return NULL;
-	count_twice(task);
-	top->run = run;
-	job = job_of(task);
+	check_overlap(task);
+	highest->run = run;
+	job = find_job(task);
 	if (job)
 		job->started = true;
-	f.starts++;
+	fleet.starts++;
 	r = &x->runs[x->run_count++];
 	ph_strcopy(r->task, TASK_BYTES, task);
 	r->run = run;
 	r->end_us = ph_clock_us() +
-		    (x->fails ? 5 : strtoull(spec, NULL, 10)) * US_PER_MS;
+		    (x->fails_runs ? 5 : strtoull(spec, NULL, 10)) * US_PER_MS;
 	return NULL;
 }
 
@@ -267,14 +304,14 @@
 	const char *reason;
 	json_t *doc;
 
-	if (x->late) {
+	if (x->delays_starts) {
 		struct late_start *l = calloc(1, sizeof(*l));
 
 		l->x = x;
-		l->at_us = ph_clock_us() + LATE_US;
-		l->order = json_incref(o);
-		l->next = f.late;
-		f.late = l;
+		l->at_us = ph_clock_us() + LATE_START_DELAY_US;
+		l->command = json_incref(o);
+		l->next = fleet.late_starts;
+		fleet.late_starts = l;
 		ph_http_req_reply(req, &(struct ph_http_reply){ .status = 503,
 								.body = "",
 								.abort = 1 });
@@ -293,7 +330,7 @@
 	const char *task = json_string_value(json_object_get(o, "task"));
 	uint64_t run = ph_json_number(o, "run", 0);
 	json_t *doc = json_pack("{s:I}", "clockMs", (json_int_t)clock_ms());
-	struct top *top;
+	struct highest_run *highest;
 	size_t i;
 
 	if (token < x->token) {
@@ -302,17 +339,18 @@
 		return;
 	}
 	x->token = token;
-	top = top_of(x, task);
-	if (run > top->run)
-		top->run = run;
+	highest = highest_run_of(x, task);
+	if (run > highest->run)
+		highest->run = run;
 	for (i = x->run_count; i > 0; i--)
 		if (!strcmp(x->runs[i - 1].task, task) &&
 		    x->runs[i - 1].run <= run)
-			run_end(x, i - 1, "stopped");
+			end_run(x, i - 1, "stopped");
 	reply_json(req, 200, doc);
 }
 
-static void answer_look(struct executor *x, struct look *l)
+/* Answers with the runs in progress and the ends that are not acknowledged. */
+static void answer_poll(struct executor *x, struct long_poll *l)
 {
 	json_t *running = json_array();
 	json_t *ended = json_array();
@@ -327,7 +365,7 @@
 	     i < x->end_count; i++) {
 		const struct end *e = &x->ends[i % ENDS_MAX];
 
-		if (e->number > l->seen)
+		if (e->number > l->ends_seen)
 			json_array_append_new(
 				ended,
 				json_pack("[IsIss]", (json_int_t)e->number,
@@ -347,7 +385,7 @@
 	uint64_t token = ph_json_number(o, "fencingToken", 0);
 	uint64_t until_us = ph_json_number(o, "deadlineMs", 0) * US_PER_MS;
 	uint64_t now_us = ph_clock_us();
-	struct look *l = NULL;
+	struct long_poll *l = NULL;
 	size_t i;
 
 	if (token < x->token) {
@@ -358,19 +396,20 @@
 		return;
 	}
 	x->token = token;
-	if (until_us > now_us + HOLD_MAX_US)
-		until_us = now_us + HOLD_MAX_US;
-	if (until_us > x->lease_us)
-		x->lease_us = until_us;
-	for (i = 0; i < LOOKS_MAX && !l; i++)
-		if (!x->looks[i].req)
-			l = &x->looks[i];
+	if (until_us > now_us + LEASE_MAX_US)
+		until_us = now_us + LEASE_MAX_US;
+	if (until_us > x->lease_until_us)
+		x->lease_until_us = until_us;
+	for (i = 0; i < POLLS_MAX && !l; i++)
+		if (!x->polls[i].req)
+			l = &x->polls[i];
 	if (!l) {
-		l = &x->looks[0];
-		answer_look(x, l);
+		/* The table is full: answers a poll early. */
+		l = &x->polls[0];
+		answer_poll(x, l);
 	}
 	l->req = req;
-	l->seen = ph_json_number(o, "lastSeen", 0);
+	l->ends_seen = ph_json_number(o, "lastSeen", 0);
 	l->until_us = now_us + ph_json_number(o, "waitMs", 0) * US_PER_MS;
 }
 
@@ -382,39 +421,41 @@
 	const char *body = ph_http_req_body(req, &len);
 	json_t *o = ph_json_object(body, len);
 
-	locked();
+	lock();
 	if (!strcmp(path, "/run-start"))
 		on_start(x, req, o);
 	else if (!strcmp(path, "/run-stop"))
 		on_stop(x, req, o);
 	else
 		on_poll(x, req, o);
-	unlocked();
+	unlock();
 	json_decref(o);
 }
 
 static void executor_tick(struct executor *x, uint64_t now_us)
 {
-	bool lapsed = now_us > x->lease_us;
+	bool lease_expired = now_us > x->lease_until_us;
 	size_t i;
 
 	for (i = x->run_count; i > 0; i--) {
-		if (lapsed)
-			run_end(x, i - 1, "lapsed");
+		if (lease_expired)
+			end_run(x, i - 1, "lapsed");
 		else if (now_us >= x->runs[i - 1].end_us)
-			run_end(x, i - 1, x->fails ? "failed" : "done");
+			end_run(x, i - 1, x->fails_runs ? "failed" : "done");
 	}
-	for (i = 0; i < LOOKS_MAX; i++) {
-		struct look *l = &x->looks[i];
+	for (i = 0; i < POLLS_MAX; i++) {
+		struct long_poll *l = &x->polls[i];
 
-		if (l->req && (x->next_end > l->seen || now_us >= l->until_us))
-			answer_look(x, l);
+		if (l->req &&
+		    (x->last_end > l->ends_seen || now_us >= l->until_us))
+			answer_poll(x, l);
 	}
 }
 
-static void late_tick(uint64_t now_us)
+/* Carries out the delayed starts that are due. */
+static void late_starts_tick(uint64_t now_us)
 {
-	struct late_start **at = &f.late;
+	struct late_start **at = &fleet.late_starts;
 
 	while (*at) {
 		struct late_start *l = *at;
@@ -424,14 +465,15 @@
 			continue;
 		}
 		*at = l->next;
-		carry_out_start(l->x, l->order);
-		json_decref(l->order);
+		carry_out_start(l->x, l->command);
+		json_decref(l->command);
 		free(l);
 	}
 }
 
 /* ## Store */
 
+/* A key of the store as it is sent: the value is in base64. */
 static json_t *item(const char *key, const char *value, uint64_t revision)
 {
 	size_t len = strlen(value);
@@ -454,8 +496,8 @@
 		 "\"desk.example\",\"prefix\":\"/q/\",\"service\":\"desk\","
 		 "\"timeoutMs\":1500,\"targetDurationMs\":60,\"priority\":0,"
 		 "\"maxAttempts\":4,\"stretch\":1.6}],\"services\":[]}",
-		 (unsigned long long)f.config_version);
-	return item("op/config", doc, f.revision);
+		 (unsigned long long)fleet.config_version);
+	return item("op/config", doc, fleet.revision);
 }
 
 static json_t *executor_items(void)
@@ -465,8 +507,8 @@
 	char doc[512];
 	size_t i;
 
-	for (i = 0; i < f.executor_count; i++) {
-		const struct executor *x = &f.executors[i];
+	for (i = 0; i < fleet.executor_count; i++) {
+		const struct executor *x = &fleet.executors[i];
 
 		snprintf(key, sizeof(key), "servers/%s", x->id);
 		snprintf(doc, sizeof(doc),
@@ -474,8 +516,9 @@
 			 "\"%s\",\"state\":\"%s\",\"capacity\":{\"cpu\":%u,"
 			 "\"memMb\":65536},\"labels\":[\"a\"]}",
 			 x->address, x->zone,
-			 x->draining ? "draining" : "ready", CORES_MILLI);
-		json_array_append_new(list, item(key, doc, f.revision));
+			 x->draining ? "draining" : "ready",
+			 EXECUTOR_CPU_MILLI);
+		json_array_append_new(list, item(key, doc, fleet.revision));
 	}
 	return list;
 }
@@ -485,11 +528,12 @@
 	json_t *list = json_array();
 	size_t i;
 
-	for (i = 0; i < f.key_count; i++)
-		if (!strncmp(f.keys[i].key, prefix, strlen(prefix)))
-			json_array_append_new(list, item(f.keys[i].key,
-							 f.keys[i].value,
-							 f.keys[i].revision));
+	for (i = 0; i < fleet.key_count; i++)
+		if (!strncmp(fleet.keys[i].key, prefix, strlen(prefix)))
+			json_array_append_new(list,
+					      item(fleet.keys[i].key,
+						   fleet.keys[i].value,
+						   fleet.keys[i].revision));
 	return list;
 }
 
@@ -500,18 +544,18 @@
 	struct key *k = NULL;
 	size_t i;
 
-	for (i = 0; i < f.key_count; i++)
-		if (!strcmp(f.keys[i].key, key))
-			k = &f.keys[i];
-	if (!k && f.key_count < KEYS_MAX)
-		k = &f.keys[f.key_count++];
+	for (i = 0; i < fleet.key_count; i++)
+		if (!strcmp(fleet.keys[i].key, key))
+			k = &fleet.keys[i];
+	if (!k && fleet.key_count < KEYS_MAX)
+		k = &fleet.keys[fleet.key_count++];
 	if (!k)
 		return;
 	ph_strcopy(k->key, sizeof(k->key), key);
 	memset(k->value, 0, sizeof(k->value));
 	if ((size_t)apr_base64_decode_len(value) < sizeof(k->value))
 		apr_base64_decode(k->value, value);
-	k->revision = ++f.revision;
+	k->revision = ++fleet.revision;
 }
 
 static json_t *store_answer(struct ph_http_req *req, const char *path)
@@ -538,28 +582,31 @@
 		json_array_foreach (json_object_get(o, "puts"), i, put) {
 			put_key(put);
 		}
-		doc = json_pack("{s:I}", "revision", (json_int_t)f.revision);
+		doc = json_pack("{s:I}", "revision",
+				(json_int_t)fleet.revision);
 	} else {
 		doc = json_pack("{s:i,s:i}", "lease", 7, "ttlMs", 20000);
 	}
 	json_object_set_new(doc, "storeRevision",
-			    json_integer((json_int_t)f.revision));
+			    json_integer((json_int_t)fleet.revision));
 	json_decref(o);
 	return doc;
 }
 
 /* ## Callers */
 
+/* A submission under way; job is the job's index. */
 struct attempt {
 	size_t job;
 };
 
+/* Submits a job, each attempt to the next instance of the list. */
 static void send_job(size_t index)
 {
 	static const char format[] =
 		"{\"spec\":\"%u ms\",\"bestEffort\":true,\"steps\":[{\"count\":"
 		"%u,\"cpu\":6800,\"memMb\":64,\"estimateMs\":%u}]}";
-	struct job *j = &f.jobs[index];
+	struct job *j = &fleet.jobs[index];
 	struct attempt *a = calloc(1, sizeof(*a));
 	char url[128];
 	char body[256];
@@ -575,11 +622,12 @@
 	a->job = index;
 	j->state = JOB_SENT;
 	snprintf(url, sizeof(url), "http://%s/q/%s",
-		 f.entries[(index + j->attempts) % f.entry_count], j->id);
+		 fleet.entries[(index + j->attempts) % fleet.entry_count],
+		 j->id);
 	snprintf(body, sizeof(body), format, j->run_ms, j->tasks, j->run_ms);
 	call.body_len = strlen(body);
 	j->attempts++;
-	ph_httpc_send(f.http, &call);
+	ph_httpc_send(fleet.http, &call);
 }
 
 static void on_answer(void *ctx, void *user, const struct ph_http_result *r)
@@ -588,93 +636,105 @@
 	struct job *j;
 
 	(void)ctx;
-	locked();
-	j = &f.jobs[a->job];
+	lock();
+	j = &fleet.jobs[a->job];
 	if (!r->err && r->status == 200) {
 		if (strcmp(r->body, "{\"state\":\"completed\"}") != 0 &&
 		    strcmp(r->body, "{\"state\":\"failed\"}") != 0)
-			f.wrong++;
+			fleet.invalid_answers++;
 		j->state = JOB_DONE;
-	} else if (!r->err && r->status == 503 && !j->unsure) {
+	} else if (!r->err && r->status == 503 && !j->may_have_run) {
 		j->state = JOB_REFUSED;
 	} else {
-		j->unsure = j->unsure || r->err != PH_ERR_UNREACHABLE;
+		j->may_have_run =
+			j->may_have_run || r->err != PH_ERR_UNREACHABLE;
 		j->state = j->attempts < ATTEMPTS_MAX ? JOB_WAITING : JOB_LOST;
-		j->due_us = ph_clock_us() + RESEND_US;
+		j->due_us = ph_clock_us() + RESUBMIT_DELAY_US;
 	}
-	unlocked();
+	unlock();
 	free(a);
 }
 
+/* Submits a new job if one is due, of 1 to 4 tasks that take 60 ms, or 600 ms
+ * in every seventh job; and jobs again whose delay is over. */
 static void callers_tick(uint64_t now_us)
 {
 	size_t i;
 
-	if (f.sending && now_us >= f.next_us && f.job_count < JOBS_MAX) {
-		struct job *j = &f.jobs[f.job_count];
+	if (fleet.sending && now_us >= fleet.next_job_us &&
+	    fleet.job_count < JOBS_MAX) {
+		struct job *j = &fleet.jobs[fleet.job_count];
 
-		f.next_us = now_us + f.every_us;
-		snprintf(j->id, sizeof(j->id), "%016zx", f.job_count + 1);
-		j->tasks = 1 + f.job_count % 4;
-		j->run_ms = f.job_count % 7 ? 60 : 600;
-		f.job_count++;
-		send_job(f.job_count - 1);
+		fleet.next_job_us = now_us + fleet.job_interval_us;
+		snprintf(j->id, sizeof(j->id), "%016zx", fleet.job_count + 1);
+		j->tasks = 1 + fleet.job_count % 4;
+		j->run_ms = fleet.job_count % 7 ? 60 : 600;
+		fleet.job_count++;
+		send_job(fleet.job_count - 1);
 	}
-	for (i = 0; i < f.job_count; i++)
-		if (f.jobs[i].state == JOB_WAITING &&
-		    now_us >= f.jobs[i].due_us)
+	for (i = 0; i < fleet.job_count; i++)
+		if (fleet.jobs[i].state == JOB_WAITING &&
+		    now_us >= fleet.jobs[i].due_us)
 			send_job(i);
 }
 
 /* ## Control */
 
+/* The counts that the scenarios check: "twice", "untrue" and "wrong" have to be
+ * 0. */
 static json_t *report(void)
 {
-	uint64_t counts[5] = { 0 };
-	uint64_t untrue = 0;
+	uint64_t counts[JOB_LOST + 1] = { 0 };
+	uint64_t false_refusals = 0;
 	size_t i;
 
-	for (i = 0; i < f.job_count; i++) {
-		counts[f.jobs[i].state]++;
-		untrue += f.jobs[i].state == JOB_REFUSED && f.jobs[i].started;
+	for (i = 0; i < fleet.job_count; i++) {
+		counts[fleet.jobs[i].state]++;
+		false_refusals += fleet.jobs[i].state == JOB_REFUSED &&
+				  fleet.jobs[i].started;
 	}
-	return json_pack(
-		"{s:I,s:I,s:I,s:I,s:I,s:I,s:I,s:I,s:I}", "jobs",
-		(json_int_t)f.job_count, "done", (json_int_t)counts[JOB_DONE],
-		"refused", (json_int_t)counts[JOB_REFUSED], "lost",
-		(json_int_t)counts[JOB_LOST], "open",
-		(json_int_t)(counts[JOB_WAITING] + counts[JOB_SENT]), "starts",
-		(json_int_t)f.starts, "twice", (json_int_t)f.twice, "untrue",
-		(json_int_t)untrue, "wrong", (json_int_t)f.wrong);
-}
-
+	return json_pack("{s:I,s:I,s:I,s:I,s:I,s:I,s:I,s:I,s:I}", "jobs",
+			 (json_int_t)fleet.job_count, "done",
+			 (json_int_t)counts[JOB_DONE], "refused",
+			 (json_int_t)counts[JOB_REFUSED], "lost",
+			 (json_int_t)counts[JOB_LOST], "open",
+			 (json_int_t)(counts[JOB_WAITING] + counts[JOB_SENT]),
+			 "starts", (json_int_t)fleet.starts, "twice",
+			 (json_int_t)fleet.overlapping_runs, "untrue",
+			 (json_int_t)false_refusals, "wrong",
+			 (json_int_t)fleet.invalid_answers);
+}
+
+/* Sets the given modes; "executor" is the index of the executor that they apply
+ * to. Modes that are not given stay. */
 static void set_mode(const json_t *o)
 {
 	size_t i = (size_t)ph_json_number(o, "executor", 0);
-	struct executor *x = &f.executors[i % f.executor_count];
+	struct executor *x = &fleet.executors[i % fleet.executor_count];
 
 	if (json_object_get(o, "store_down"))
-		f.store_down = ph_json_true(o, "store_down");
+		fleet.store_down = ph_json_true(o, "store_down");
 	if (json_object_get(o, "sending"))
-		f.sending = ph_json_true(o, "sending");
+		fleet.sending = ph_json_true(o, "sending");
 	if (json_object_get(o, "late"))
-		x->late = ph_json_true(o, "late");
+		x->delays_starts = ph_json_true(o, "late");
 	if (json_object_get(o, "fails"))
-		x->fails = ph_json_true(o, "fails");
+		x->fails_runs = ph_json_true(o, "fails");
 	if (json_object_get(o, "draining"))
 		x->draining = ph_json_true(o, "draining");
 	if (ph_json_true(o, "config"))
-		f.config_version++;
+		fleet.config_version++;
+	/* The executor restarts and has forgotten all. */
 	if (ph_json_true(o, "reborn")) {
 		x->started_ms++;
 		x->run_count = 0;
 		x->end_count = 0;
-		x->next_end = 0;
-		x->top_count = 0;
+		x->last_end = 0;
+		x->task_count = 0;
 		x->token = 0;
-		x->lease_us = 0;
+		x->lease_until_us = 0;
 	}
-	f.revision++;
+	fleet.revision++;
 }
 
 static void on_store(void *ctx, struct ph_http_req *req)
@@ -684,7 +744,7 @@
 	const char *body = ph_http_req_body(req, &len);
 
 	(void)ctx;
-	locked();
+	lock();
 	if (!strcmp(path, "/standin/report")) {
 		reply_json(req, 200, report());
 	} else if (!strcmp(path, "/standin/mode")) {
@@ -693,17 +753,18 @@
 		set_mode(o);
 		json_decref(o);
 		reply_json(req, 200, json_object());
-	} else if (f.store_down) {
+	} else if (fleet.store_down) {
 		reply_json(req, 503, json_object());
 	} else {
+		/* A watch is answered after 300 ms, changed or not. */
 		if (!strcmp(path, "/kv-watch")) {
-			unlocked();
+			unlock();
 			usleep(300 * US_PER_MS);
-			locked();
+			lock();
 		}
 		reply_json(req, 200, store_answer(req, path));
 	}
-	unlocked();
+	unlock();
 }
 
 static void *APR_THREAD_FUNC tick(apr_thread_t *thread, void *data)
@@ -714,23 +775,23 @@
 		uint64_t now_us = ph_clock_us();
 		size_t i;
 
-		locked();
-		late_tick(now_us);
-		for (i = 0; i < f.executor_count; i++)
-			executor_tick(&f.executors[i], now_us);
+		lock();
+		late_starts_tick(now_us);
+		for (i = 0; i < fleet.executor_count; i++)
+			executor_tick(&fleet.executors[i], now_us);
 		callers_tick(now_us);
-		unlocked();
+		unlock();
 		usleep(TICK_US);
 	}
 	return NULL;
 }
 
-static struct ph_httpd *serve(const char *address, uint16_t port,
-			      ph_http_handler_fn *handler, void *ctx,
-			      uint32_t threads)
+static struct ph_httpd *start_server(const char *address, uint16_t port,
+				     ph_http_handler_fn *handler, void *ctx,
+				     uint32_t threads)
 {
 	struct ph_httpd_options options = {
-		.mem = f.mem,
+		.mem = fleet.mem,
 		.address = address,
 		.port = port,
 		.threads = threads,
@@ -744,23 +805,25 @@
 
 static void add_executor(const char *address, uint16_t port, const char *zone)
 {
-	struct executor *x = &f.executors[f.executor_count];
+	struct executor *x = &fleet.executors[fleet.executor_count];
 
-	snprintf(x->id, sizeof(x->id), "i-%zu", f.executor_count++);
+	snprintf(x->id, sizeof(x->id), "i-%zu", fleet.executor_count++);
 	snprintf(x->address, sizeof(x->address), "%s:%u", address, port);
 	x->zone = zone;
 	x->started_ms = 1;
-	x->tops = f.mem->calloc(TOPS_MAX, sizeof(*x->tops));
-	x->httpd = serve(address, port, on_executor, x, 1);
+	x->highest_runs =
+		fleet.mem->calloc(TASKS_MAX, sizeof(*x->highest_runs));
+	x->httpd = start_server(address, port, on_executor, x, 1);
 }
 
+/* Splits "ip:port,..." into the list of entry instances. */
 static void split_entries(const char *text)
 {
-	while (*text && f.entry_count < ENTRIES_MAX) {
+	while (*text && fleet.entry_count < ENTRIES_MAX) {
 		size_t len = strcspn(text, ",");
 
-		snprintf(f.entries[f.entry_count++], sizeof(f.entries[0]),
-			 "%.*s", (int)len, text);
+		snprintf(fleet.entries[fleet.entry_count++],
+			 sizeof(fleet.entries[0]), "%.*s", (int)len, text);
 		text += len;
 		text += *text == ',';
 	}
@@ -777,12 +840,12 @@
 		{ .flag = "address",
 		  .type = PH_SETTING_IP,
 		  .fallback = "127.0.0.99",
-		  .help = "IP number to listen on",
+		  .help = "IP address to listen on",
 		  .text = &address },
 		{ .flag = "port",
 		  .type = PH_SETTING_PORT,
 		  .fallback = "20000",
-		  .help = "port of the store; executors follow",
+		  .help = "port of the store; the executors have the next ones",
 		  .number = &port },
 		{ .flag = "count",
 		  .type = PH_SETTING_NUMBER,
@@ -792,12 +855,12 @@
 		{ .flag = "entries",
 		  .type = PH_SETTING_TEXT,
 		  .fallback = NULL,
-		  .help = "ip:port,... that callers send jobs to",
+		  .help = "ip:port,... that callers submit jobs to",
 		  .text = &entries },
 		{ .flag = "every-ms",
 		  .type = PH_SETTING_NUMBER,
 		  .fallback = "30",
-		  .help = "distance of two jobs",
+		  .help = "interval between two jobs",
 		  .number = &every_ms },
 	};
 	struct ph_settings settings = {
@@ -815,27 +878,29 @@
 
 	if (status >= 0)
 		return status;
-	/* The process is killed at the end of a scenario. */
+	/* The process is killed at the end of a scenario: lines that were
+	 * printed must not be left in a buffer. */
 	setvbuf(stdout, NULL, _IOLBF, 0);
 	apr_initialize();
 	curl_global_init(CURL_GLOBAL_DEFAULT);
-	f.mem = ph_mem_default();
-	http.mem = f.mem;
-	apr_pool_create(&f.pool, NULL);
-	apr_thread_mutex_create(&f.lock, APR_THREAD_MUTEX_DEFAULT, f.pool);
-	f.jobs = f.mem->calloc(JOBS_MAX, sizeof(*f.jobs));
-	f.revision = 1;
-	f.config_version = 1;
-	f.every_us = every_ms * US_PER_MS;
+	fleet.mem = ph_mem_default();
+	http.mem = fleet.mem;
+	apr_pool_create(&fleet.pool, NULL);
+	apr_thread_mutex_create(&fleet.lock, APR_THREAD_MUTEX_DEFAULT,
+				fleet.pool);
+	fleet.jobs = fleet.mem->calloc(JOBS_MAX, sizeof(*fleet.jobs));
+	fleet.revision = 1;
+	fleet.config_version = 1;
+	fleet.job_interval_us = every_ms * US_PER_MS;
 	split_entries(entries);
-	f.http = ph_httpc_new(&http);
+	fleet.http = ph_httpc_new(&http);
 	for (i = 0; i < count && i < EXECUTORS_MAX; i++)
 		add_executor(address, (uint16_t)(port + 1 + i),
 			     i < count / 2 ? "north" : "south");
-	f.store = serve(address, (uint16_t)port, on_store, NULL, 4);
-	if (!f.store)
+	fleet.store = start_server(address, (uint16_t)port, on_store, NULL, 4);
+	if (!fleet.store)
 		return PH_EXIT_FAILED;
-	apr_thread_create(&thread, NULL, tick, NULL, f.pool);
+	apr_thread_create(&thread, NULL, tick, NULL, fleet.pool);
 	apr_thread_join(&(apr_status_t){ 0 }, thread);
 	return PH_EXIT_OK;
 }
