--- a/test/standin_fleet.c
+++ b/test/standin_fleet.c
@@ -240,7 +240,8 @@
 	x->runs[i] = x->runs[--x->run_count];
 }
 
-/* Counts the runs of the task that are in progress anywhere. */
+/* Before a start: counts and prints the runs of the task that are still in
+ * progress at any executor. */
 static void check_overlap(const char *task)
 {
 	size_t i;
