--- a/src/cli_replay.c
+++ b/src/cli_replay.c
@@ -34,7 +34,7 @@
 
 /* What the run is judged by. */
 struct tally {
-	size_t by_outcome[PH_CLIENT_WRONG + 1];
+	size_t by_outcome[PH_CLIENT_INVALID_ANSWER + 1];
 	size_t tasks;
 	size_t attempts;
 	uint64_t messages;
@@ -277,8 +277,8 @@
 	       r->job_count, t->tasks, t->attempts,
 	       t->by_outcome[PH_CLIENT_COMPLETE],
 	       t->by_outcome[PH_CLIENT_FAILED],
-	       t->by_outcome[PH_CLIENT_REJECTED], t->by_outcome[PH_CLIENT_LOST],
-	       t->by_outcome[PH_CLIENT_WRONG], (unsigned long long)t->starts,
+	       t->by_outcome[PH_CLIENT_REJECTED], t->by_outcome[PH_CLIENT_NO_ANSWER],
+	       t->by_outcome[PH_CLIENT_INVALID_ANSWER], (unsigned long long)t->starts,
 	       (unsigned long long)t->doubled, t->p50, t->p99, t->p999,
 	       per_task(t->messages, t), per_task(t->peer_bytes, t));
 }
@@ -290,8 +290,8 @@
 	printf("complete             %zu\n", t->by_outcome[PH_CLIENT_COMPLETE]);
 	printf("failed               %zu\n", t->by_outcome[PH_CLIENT_FAILED]);
 	printf("rejected             %zu\n", t->by_outcome[PH_CLIENT_REJECTED]);
-	printf("lost                 %zu\n", t->by_outcome[PH_CLIENT_LOST]);
-	printf("partial or foreign   %zu\n", t->by_outcome[PH_CLIENT_WRONG]);
+	printf("lost                 %zu\n", t->by_outcome[PH_CLIENT_NO_ANSWER]);
+	printf("partial or foreign   %zu\n", t->by_outcome[PH_CLIENT_INVALID_ANSWER]);
 	if (r->counts_count)
 		printf("starts               %llu, of tasks started twice: "
 		       "%llu\n",
@@ -307,7 +307,7 @@
 
 static int verdict(const struct tally *t)
 {
-	if (t->by_outcome[PH_CLIENT_LOST] || t->by_outcome[PH_CLIENT_WRONG] ||
+	if (t->by_outcome[PH_CLIENT_NO_ANSWER] || t->by_outcome[PH_CLIENT_INVALID_ANSWER] ||
 	    t->by_outcome[PH_CLIENT_REJECTED] || t->doubled)
 		return PH_EXIT_FAILED;
 	return PH_EXIT_OK;
@@ -324,7 +324,7 @@
 		.ctx = r,
 		.attempt_us = r->attempt_us,
 		.caller_timeout_us = r->caller_timeout_us,
-		.first_attempts = true,
+		.mark_first_attempts = true,
 	};
 	struct tally t = { 0 };
 	uint64_t before = 0;
--- a/src/client.c
+++ b/src/client.c
@@ -77,7 +77,7 @@
 		 job->id);
 	snprintf(auth, sizeof(auth), "Authorization: Bearer %s",
 		 opt->key_of(opt->ctx, job->team));
-	if (job->attempts > 1 || opt->first_attempts)
+	if (job->attempts > 1 || opt->mark_first_attempts)
 		snprintf(attempt, sizeof(attempt), "Attempt: %u",
 			 job->attempts);
 	else
@@ -117,7 +117,7 @@
 	known = job->done + job->not_run + job->may_have_run;
 	if (!id || strcmp(id, job->id) != 0 || known != job->task_count ||
 	    (complete && job->done != job->task_count))
-		job->outcome = PH_CLIENT_WRONG;
+		job->outcome = PH_CLIENT_INVALID_ANSWER;
 	else
 		job->outcome = complete ? PH_CLIENT_COMPLETE : PH_CLIENT_FAILED;
 	json_decref(doc);
@@ -151,7 +151,7 @@
 			m->data = NULL;
 		}
 	} else if (m->at_us > due + run->opt->caller_timeout_us) {
-		finish(run, job, PH_CLIENT_LOST);
+		finish(run, job, PH_CLIENT_NO_ANSWER);
 	} else {
 		job->due_us = m->at_us + RETRY_US;
 		run->again[run->again_count++] = job;
--- a/src/client.h
+++ b/src/client.h
@@ -18,9 +18,9 @@
 	/** Refused with a 4xx status. */
 	PH_CLIENT_REJECTED,
 	/** No answer in the time allowed. */
-	PH_CLIENT_LOST,
+	PH_CLIENT_NO_ANSWER,
 	/** An answer that is not whole, or is another request's. */
-	PH_CLIENT_WRONG,
+	PH_CLIENT_INVALID_ANSWER,
 };
 
 struct ph_client_job {
@@ -64,7 +64,7 @@
 	uint64_t attempt_us;
 	uint64_t caller_timeout_us;
 	/** Says on the first attempt that the id was never sent before. */
-	bool first_attempts;
+	bool mark_first_attempts;
 	bool keep_answers;
 };
 
--- a/src/daemon.c
+++ b/src/daemon.c
@@ -3,7 +3,7 @@
 
 #include "daemon.h"
 
-void ph_daemon_block(sigset_t *signals)
+void ph_daemon_block_signals(sigset_t *signals)
 {
 	sigemptyset(signals);
 	sigaddset(signals, SIGTERM);
@@ -14,7 +14,7 @@
 	signal(SIGPIPE, SIG_IGN);
 }
 
-void ph_daemon_serve(const struct ph_daemon *daemon, const sigset_t *signals)
+void ph_daemon_handle_signals(const struct ph_daemon *daemon, const sigset_t *signals)
 {
 	int sig;
 
--- a/src/daemon.h
+++ b/src/daemon.h
@@ -16,9 +16,9 @@
 };
 
 /** Blocks the signals in all threads to come; before the first is started. */
-void ph_daemon_block(sigset_t *signals);
+void ph_daemon_block_signals(sigset_t *signals);
 
 /** Takes signals, by one call in the main thread, until the program stops. */
-void ph_daemon_serve(const struct ph_daemon *daemon, const sigset_t *signals);
+void ph_daemon_handle_signals(const struct ph_daemon *daemon, const sigset_t *signals);
 
 #endif
--- a/src/dispatcher.c
+++ b/src/dispatcher.c
@@ -72,7 +72,7 @@
 	/* Heartbeats of hundreds of peers do not wake the control thread each;
 	 * they wait for its next wake-up. */
 	if (msg->type == PH_POOLMSG_HEARTBEAT)
-		ph_mailbox_put_later(d->box, &m->base);
+		ph_mailbox_put_no_wake(d->box, &m->base);
 	else
 		ph_mailbox_put(d->box, &m->base);
 	return 0;
@@ -93,7 +93,7 @@
 	ph_event(PART, "event=connection_lost peer=%s", addr);
 }
 
-static const struct ph_peer_events peer_events = {
+static const struct ph_transport_events peer_events = {
 	.frame = on_frame,
 	.refused = on_refused,
 	.broken = on_broken,
@@ -321,7 +321,7 @@
 			void *platform_ctx, struct ph_dispatcher **out)
 {
 	struct ph_dispatcher *d = mem->calloc(1, sizeof(*d));
-	struct ph_peer_options peer = {
+	struct ph_transport_options peer = {
 		.mem = mem,
 		.address = settings->address,
 		.port = settings->peer_port,
--- a/src/entry.c
+++ b/src/entry.c
@@ -79,7 +79,7 @@
 	post_addr(ctx, MAIL_BROKEN, addr);
 }
 
-static const struct ph_peer_events peer_events = {
+static const struct ph_transport_events peer_events = {
 	.frame = on_frame,
 	.refused = on_refused,
 	.broken = on_broken,
@@ -573,7 +573,7 @@
 
 static int open_ports(struct ph_entry *e)
 {
-	struct ph_peer_options peer = {
+	struct ph_transport_options peer = {
 		.mem = e->mem,
 		.address = e->set.address,
 		.port = e->set.peer_port,
--- a/src/entry_main.c
+++ b/src/entry_main.c
@@ -108,7 +108,7 @@
 	set.answer_bytes_max = answers_mb << 20;
 	apr_initialize();
 	curl_global_init(CURL_GLOBAL_DEFAULT);
-	ph_daemon_block(&signals);
+	ph_daemon_block_signals(&signals);
 	ph_log_name(set.name);
 	err = ph_entry_start(ph_mem_default(), &set, &entry);
 	if (err) {
@@ -117,6 +117,6 @@
 		return PH_EXIT_FAILED;
 	}
 	daemon.ctx = entry;
-	ph_daemon_serve(&daemon, &signals);
+	ph_daemon_handle_signals(&daemon, &signals);
 	return PH_EXIT_OK;
 }
--- a/src/httpc.c
+++ b/src/httpc.c
@@ -15,19 +15,25 @@
 #include "log.h"
 
 #define PART "httpc"
-#define POLL_MS 1000U
+/* Longest wait for events while no timer is due earlier. */
+#define POLL_TIMEOUT_MS 1000U
+/* Most events handled in one turn of the event loop. */
 #define EVENTS_MAX 512
-/* More descriptors than a process may have on the machines in use. */
+/* Descriptors must be below this number; the limit of open files of a process
+ * is lower on the machines in use. */
 #define SOCKETS_MAX 65536U
 #define US_PER_MS 1000U
+/* Most easy handles kept for reuse. */
 #define IDLE_HANDLES_MAX 256U
 #define CONNECT_TIMEOUT_MS 1000L
-/* Idle connections kept: a handful to each of some hundred servers. */
-#define CONNECTIONS_KEPT 1024U
+/* Connections that libcurl keeps open for reuse, sized for several to each of a
+ * few hundred servers. */
+#define CONNECTION_CACHE_SIZE 1024U
 
+/* A call from ph_httpc_send to its end: first in the inbox, then active. */
 struct transfer {
 	struct transfer *next;
-	/** Of an active one. */
+	/** Used while the transfer is active. */
 	struct transfer *previous;
 	struct ph_httpc *client;
 	CURL *easy;
@@ -38,11 +44,13 @@
 	size_t body_sent;
 	char *url;
 	char *method;
-	/** On the steady clock. */
+	/** By ph_clock_us. */
 	uint64_t deadline_us;
-	/** It was over its deadline when this was last looked at. */
+	/** The deadline had passed at the last check. */
 	bool overdue;
-	struct ph_buf answer;
+	/** Response: its body and the parts of its headers that are reported.
+	 */
+	struct ph_buf response;
 	uint64_t index;
 	bool closing;
 };
@@ -52,32 +60,39 @@
 	struct ph_httpc_options opt;
 	char *source;
 	apr_pool_t *pool;
+	/** Guards the inbox. */
 	apr_thread_mutex_t *lock;
 	apr_thread_t *thread;
 	CURLM *multi;
+	/** Transfers that the client's thread has not taken yet. */
 	struct transfer *inbox_head;
 	struct transfer *inbox_tail;
+	/** Easy handles kept for reuse. */
 	CURL *idle[IDLE_HANDLES_MAX];
 	size_t idle_count;
 	struct transfer *active;
-	/** No active transfer is over its deadline before. */
+	/** Lower bound of the deadlines of all active transfers. */
 	uint64_t next_deadline_us;
-	/** When libcurl wants to be called for its own timers. */
+	/** When libcurl's own timer expires; UINT64_MAX if it is not set. */
 	uint64_t timer_us;
 	int epoll_fd;
+	/** An eventfd that wakes the client's thread. */
 	int wake_fd;
-	/** A wake-up is under way. */
-	bool woken;
-	/** By descriptor: what epoll waits for, and what libcurl wants. */
+	/** wake_fd has been written and not been read yet; atomic. */
+	bool wake_pending;
+	/** Events by descriptor: those registered with epoll, and those that
+	 * libcurl asked for. */
 	struct interest {
 		uint32_t polled;
 		uint32_t wanted;
 	} * interests;
+	/** Set by ph_httpc_free; atomic. */
 	bool stop;
 };
 
 /* ## Sockets */
 
+/* Converts libcurl's CURL_POLL_ value to epoll events. */
 static uint32_t events_of(int what)
 {
 	switch (what) {
@@ -102,15 +117,18 @@
 		return;
 	if (!events)
 		op = EPOLL_CTL_DEL;
-	/* One that is no longer wanted may be closed by now. */
+	/* Removal may fail, since the descriptor may be closed by now. */
 	if (epoll_ctl(client->epoll_fd, op, fd, &event) && events)
-		ph_log(PART, "Waiting for a socket failed: %s.",
-		       strerror(errno));
+		ph_log(PART,
+		       "Can't poll socket %d for events 0x%x: %s; its call may "
+		       "time out.",
+		       fd, events, strerror(errno));
 	in->polled = events;
 }
 
-/* A connection that becomes idle is polled on: most are used again soon. If
- * its server closes it, its events are dropped then. */
+/* CURLMOPT_SOCKETFUNCTION. A connection that becomes idle stays registered with
+ * epoll, since most are soon used again. Should its server close it meanwhile,
+ * the event that follows removes it (socket_ready). */
 static int on_socket(CURL *easy, curl_socket_t fd, int what, void *user,
 		     void *socket_user)
 {
@@ -126,9 +144,11 @@
 	return 0;
 }
 
-/* libcurl doesn't tell of each socket that it closes, and the kernel forgets a
- * closed one: its number comes back with a new socket that isn't polled yet. */
-static int on_open(void *user, curl_socket_t fd, curlsocktype purpose)
+/* CURLOPT_SOCKOPTFUNCTION, called for each new socket. libcurl does not report
+ * every socket that it closes, and epoll drops closed descriptors silently. The
+ * number is then reused by a new socket, which is not registered yet, so that
+ * what is known of its predecessor must be cleared. */
+static int on_socket_created(void *user, curl_socket_t fd, curlsocktype purpose)
 {
 	struct ph_httpc *client = user;
 
@@ -138,6 +158,7 @@
 	return CURL_SOCKOPT_OK;
 }
 
+/* CURLMOPT_TIMERFUNCTION. */
 static int on_timer(CURLM *multi, long timeout_ms, void *user)
 {
 	struct ph_httpc *client = user;
@@ -154,19 +175,23 @@
 {
 	uint64_t one = 1;
 
-	if (__atomic_exchange_n(&client->woken, true, __ATOMIC_ACQ_REL))
+	if (__atomic_exchange_n(&client->wake_pending, true, __ATOMIC_ACQ_REL))
 		return;
 	if (write(client->wake_fd, &one, sizeof(one)) != sizeof(one))
-		ph_log(PART, "The wake-up of the client's thread failed.");
+		ph_log(PART,
+		       "Can't wake the HTTP client's thread; calls start up "
+		       "to %u ms late.",
+		       POLL_TIMEOUT_MS);
 }
 
-static void woken(struct ph_httpc *client)
+static void clear_wake(struct ph_httpc *client)
 {
 	uint64_t count;
 
 	if (read(client->wake_fd, &count, sizeof(count)) != sizeof(count))
-		ph_log(PART, "A wake-up without a count.");
-	__atomic_store_n(&client->woken, false, __ATOMIC_RELEASE);
+		ph_log(PART, "Can't read the wake-up descriptor; going on as "
+			     "if it had been read.");
+	__atomic_store_n(&client->wake_pending, false, __ATOMIC_RELEASE);
 }
 
 static void socket_ready(struct ph_httpc *client, const struct epoll_event *e)
@@ -193,15 +218,16 @@
 {
 	struct transfer *t = user;
 
-	ph_buf_put(&t->answer, data, size * count);
+	ph_buf_put(&t->response, data, size * count);
 	return size * count;
 }
 
-static bool header_is(const char *line, size_t len, const char *name)
+/* Tells whether a header line starts with prefix, ignoring case. */
+static bool header_starts(const char *line, size_t len, const char *prefix)
 {
-	size_t n = strlen(name);
+	size_t n = strlen(prefix);
 
-	return len > n && !strncasecmp(line, name, n);
+	return len > n && !strncasecmp(line, prefix, n);
 }
 
 static size_t on_header(char *data, size_t size, size_t count, void *user)
@@ -211,13 +237,15 @@
 	struct transfer *t = user;
 	size_t len = size * count;
 
-	if (header_is(data, len, index))
+	if (header_starts(data, len, index))
 		t->index = strtoull(data + sizeof(index) - 1, NULL, 10);
-	if (header_is(data, len, connection))
+	if (header_starts(data, len, connection))
 		t->closing = true;
 	return len;
 }
 
+/* CURLOPT_READFUNCTION: hands the next part of the request's body to libcurl.
+ */
 static size_t on_read(char *data, size_t size, size_t count, void *user)
 {
 	struct transfer *t = user;
@@ -230,8 +258,9 @@
 	return n;
 }
 
-/* libcurl rewinds the body to repeat a request by itself; a request that may
- * have reached its server must not be repeated. */
+/* CURLOPT_SEEKFUNCTION. libcurl rewinds the body to repeat a request on another
+ * connection. This fails once any of the body was sent, since the server may
+ * have processed the request, which must then not be repeated. */
 static int on_seek(void *user, curl_off_t offset, int origin)
 {
 	struct transfer *t = user;
@@ -241,6 +270,7 @@
 	return t->body_sent ? CURL_SEEKFUNC_FAIL : CURL_SEEKFUNC_OK;
 }
 
+/* Takes an easy handle kept for reuse, or creates one. */
 static CURL *easy_get(struct ph_httpc *client)
 {
 	if (client->idle_count)
@@ -273,6 +303,7 @@
 	curl_easy_setopt(e, CURLOPT_SEEKDATA, t);
 }
 
+/* Starts a transfer: sets the options of its handle and makes it active. */
 static void begin(struct ph_httpc *client, struct transfer *t)
 {
 	CURL *e = easy_get(client);
@@ -289,7 +320,7 @@
 	curl_easy_setopt(e, CURLOPT_HEADERDATA, t);
 	curl_easy_setopt(e, CURLOPT_HTTPHEADER, t->headers);
 	curl_easy_setopt(e, CURLOPT_CONNECTTIMEOUT_MS, CONNECT_TIMEOUT_MS);
-	curl_easy_setopt(e, CURLOPT_SOCKOPTFUNCTION, on_open);
+	curl_easy_setopt(e, CURLOPT_SOCKOPTFUNCTION, on_socket_created);
 	curl_easy_setopt(e, CURLOPT_SOCKOPTDATA, client);
 	if (client->source)
 		curl_easy_setopt(e, CURLOPT_INTERFACE, client->source);
@@ -308,14 +339,14 @@
 static void transfer_free(struct ph_httpc *client, struct transfer *t)
 {
 	curl_slist_free_all(t->headers);
-	ph_buf_free(&t->answer);
+	ph_buf_free(&t->response);
 	client->mem->free(t->body);
 	client->mem->free(t->url);
 	client->mem->free(t->method);
 	client->mem->free(t);
 }
 
-static void begin_all(struct ph_httpc *client)
+static void begin_inbox(struct ph_httpc *client)
 {
 	struct transfer *t;
 
@@ -332,10 +363,12 @@
 	}
 }
 
+/* Maps libcurl's result to the error of struct ph_http_result. */
 static int error_of(const struct transfer *t, CURLcode code)
 {
-	/* libcurl tries a broken kept connection's request on a new one; what
-	 * it says of that one says nothing of the first. */
+	/* When a reused connection breaks, libcurl tries again on a new one and
+	 * reports the error of that one only, which does not tell whether the
+	 * server got the request on the first. */
 	if (code != CURLE_OK && t->body_sent)
 		return PH_ERR_IO;
 	switch (code) {
@@ -349,7 +382,7 @@
 	default:
 		break;
 	}
-	/* Without its body a request can't have started anything. */
+	/* Without any of its body, the request can't have started anything. */
 	if (t->body && !t->body_sent)
 		return PH_ERR_UNREACHABLE;
 	return PH_ERR_IO;
@@ -365,6 +398,7 @@
 		t->next->previous = t->previous;
 }
 
+/* Reports the outcome of a transfer and frees it. */
 static void complete(struct ph_httpc *client, CURL *easy, CURLcode code)
 {
 	struct ph_http_result result = { 0 };
@@ -377,8 +411,8 @@
 	result.status = (int)status;
 	result.index = t->index;
 	result.closing = t->closing;
-	result.body = t->answer.data ? t->answer.data : "";
-	result.body_len = t->answer.len;
+	result.body = t->response.data ? t->response.data : "";
+	result.body_len = t->response.len;
 	curl_multi_remove_handle(client->multi, easy);
 	easy_put(client, easy);
 	unlink_active(client, t);
@@ -386,9 +420,9 @@
 	transfer_free(client, t);
 }
 
-/* Ends what is over its deadline. A process that was stopped for a while finds
- * deadlines passed and answers that have arrived: those are read first, so a
- * call is ended in the turn after. */
+/* Times out transfers whose deadlines had already passed at the last check.
+ * After a pause of the process, deadlines have passed while responses wait in
+ * the sockets; the turn in between reads them first. */
 static void end_overdue(struct ph_httpc *client, uint64_t now_us)
 {
 	struct transfer *t = client->active;
@@ -422,22 +456,23 @@
 			complete(client, msg->easy_handle, msg->data.result);
 }
 
-/* Milliseconds until something is due. */
+/* Milliseconds until the next timer or deadline, at most POLL_TIMEOUT_MS. */
 static int wait_ms(const struct ph_httpc *client, uint64_t now_us)
 {
 	uint64_t due_us = client->timer_us < client->next_deadline_us
 				  ? client->timer_us
 				  : client->next_deadline_us;
-	uint64_t ms = POLL_MS;
+	uint64_t ms = POLL_TIMEOUT_MS;
 
 	if (due_us <= now_us)
 		return 0;
-	if (due_us < now_us + POLL_MS * US_PER_MS)
+	if (due_us < now_us + POLL_TIMEOUT_MS * US_PER_MS)
 		ms = (due_us - now_us + US_PER_MS - 1) / US_PER_MS;
 	return (int)ms;
 }
 
-static void turn(struct ph_httpc *client)
+/* One turn of the event loop. */
+static void poll_once(struct ph_httpc *client)
 {
 	struct epoll_event events[EVENTS_MAX];
 	int running;
@@ -447,11 +482,11 @@
 
 	for (i = 0; i < n; i++) {
 		if (events[i].data.fd == client->wake_fd)
-			woken(client);
+			clear_wake(client);
 		else
 			socket_ready(client, &events[i]);
 	}
-	begin_all(client);
+	begin_inbox(client);
 	if (ph_clock_us() >= client->timer_us) {
 		client->timer_us = UINT64_MAX;
 		curl_multi_socket_action(client->multi, CURL_SOCKET_TIMEOUT, 0,
@@ -461,16 +496,17 @@
 	end_overdue(client, ph_clock_us());
 }
 
-static void *APR_THREAD_FUNC run(apr_thread_t *thread, void *data)
+static void *APR_THREAD_FUNC event_loop(apr_thread_t *thread, void *data)
 {
 	struct ph_httpc *client = data;
 
 	(void)thread;
 	while (!__atomic_load_n(&client->stop, __ATOMIC_ACQUIRE))
-		turn(client);
+		poll_once(client);
 	return NULL;
 }
 
+/* Sets up epoll and connects libcurl's multi interface to it. */
 static void open_poll(struct ph_httpc *client)
 {
 	struct epoll_event event = { .events = EPOLLIN };
@@ -483,7 +519,10 @@
 	client->wake_fd = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
 	event.data.fd = client->wake_fd;
 	if (epoll_ctl(client->epoll_fd, EPOLL_CTL_ADD, client->wake_fd, &event))
-		ph_log(PART, "The client can't be woken, it only polls.");
+		ph_log(PART,
+		       "Can't poll the wake-up descriptor; calls start up to "
+		       "%u ms late.",
+		       POLL_TIMEOUT_MS);
 	curl_multi_setopt(client->multi, CURLMOPT_SOCKETFUNCTION, on_socket);
 	curl_multi_setopt(client->multi, CURLMOPT_SOCKETDATA, client);
 	curl_multi_setopt(client->multi, CURLMOPT_TIMERFUNCTION, on_timer);
@@ -505,11 +544,12 @@
 	client->multi = curl_multi_init();
 	open_poll(client);
 	curl_multi_setopt(client->multi, CURLMOPT_MAXCONNECTS,
-			  (long)CONNECTIONS_KEPT);
+			  (long)CONNECTION_CACHE_SIZE);
 	if (options->connections_per_host)
 		curl_multi_setopt(client->multi, CURLMOPT_MAX_HOST_CONNECTIONS,
 				  (long)options->connections_per_host);
-	apr_thread_create(&client->thread, NULL, run, client, client->pool);
+	apr_thread_create(&client->thread, NULL, event_loop, client,
+			  client->pool);
 	return client;
 }
 
@@ -525,9 +565,9 @@
 	t->method = ph_memdup(client->mem, call->method, strlen(call->method));
 	t->body = ph_memdup(client->mem, call->body, call->body_len);
 	t->body_len = call->body_len;
-	ph_buf_init(&t->answer, client->mem);
+	ph_buf_init(&t->response, client->mem);
 	t->headers = curl_slist_append(NULL, "Expect:");
-	for (i = 0; i < PH_HTTP_HEADERS; i++)
+	for (i = 0; i < PH_HTTP_MAX_HEADERS; i++)
 		if (call->headers[i])
 			t->headers =
 				curl_slist_append(t->headers, call->headers[i]);
--- a/src/httpc.h
+++ b/src/httpc.h
@@ -3,40 +3,47 @@
 
 /*
  * An asynchronous HTTP client on a thread of its own, over libcurl's multi
- * interface. A request whose body was sent is never sent again by itself.
+ * interface. It never repeats a request once any of the body has been sent.
  */
 
 #include <stdbool.h>
 
 #include "buf.h"
 
-#define PH_HTTP_HEADERS 6U
+#define PH_HTTP_MAX_HEADERS 6U
 
-/** One call. The strings are copied. */
+/** A request to send. ph_httpc_send copies the strings. */
 struct ph_http_call {
 	const char *method;
 	const char *url;
 	/** "Name: value" lines; NULL entries are skipped. */
-	const char *headers[PH_HTTP_HEADERS];
+	const char *headers[PH_HTTP_MAX_HEADERS];
+	/** NULL for a request without a body. */
 	const char *body;
 	size_t body_len;
+	/** Time from ph_httpc_send to the end of the call. */
 	uint64_t timeout_us;
+	/** Passed to the done callback. */
 	void *user;
 };
 
 struct ph_http_result {
-	/** 0; PH_ERR_UNREACHABLE: surely not sent; PH_ERR_IO: unknown. */
+	/**
+	 * 0 if there is a response. PH_ERR_UNREACHABLE: the server can't have
+	 * processed the request. PH_ERR_IO: it may have.
+	 */
 	int err;
+	/** HTTP status, 0 if there is none. */
 	int status;
 	/** Value of the X-Consul-Index header, or 0. */
 	uint64_t index;
-	/** The server closes the connection. */
+	/** The response has the header "Connection: close". */
 	bool closing;
 	const char *body;
 	size_t body_len;
 };
 
-/** Called on the client's thread; result is borrowed. */
+/** Called on the client's thread; result is valid during the call only. */
 typedef void ph_http_done_fn(void *ctx, void *user,
 			     const struct ph_http_result *result);
 
@@ -44,9 +51,12 @@
 
 struct ph_httpc_options {
 	const struct ph_mem *mem;
-	/** Connections per server; more calls wait their turn. */
+	/**
+	 * Most connections to one server, beyond which calls are queued; 0 for
+	 * no limit.
+	 */
 	uint32_t connections_per_host;
-	/** Local IP number to call from, or NULL. */
+	/** Local IP address to connect from, or NULL; copied. */
 	const char *source;
 	ph_http_done_fn *done;
 	void *ctx;
@@ -54,10 +64,13 @@
 
 struct ph_httpc *ph_httpc_new(const struct ph_httpc_options *options);
 
-/** Ends all calls, without reporting them, and the thread. */
+/** Stops the thread and drops all calls without reporting them. */
 void ph_httpc_free(struct ph_httpc *client);
 
-/** Starts a call; its end is reported through done. Any thread. */
+/**
+ * Starts a call, whose outcome is reported once, through the done callback.
+ * May be called on any thread.
+ */
 void ph_httpc_send(struct ph_httpc *client, const struct ph_http_call *call);
 
 #endif
--- a/src/mailbox.c
+++ b/src/mailbox.c
@@ -57,7 +57,7 @@
 	apr_thread_mutex_unlock(box->lock);
 }
 
-void ph_mailbox_put_later(struct ph_mailbox *box, struct ph_mail *mail)
+void ph_mailbox_put_no_wake(struct ph_mailbox *box, struct ph_mail *mail)
 {
 	apr_thread_mutex_lock(box->lock);
 	append(box, mail);
--- a/src/mailbox.h
+++ b/src/mailbox.h
@@ -20,7 +20,7 @@
 void ph_mailbox_put(struct ph_mailbox *box, struct ph_mail *mail);
 
 /** Likewise; it may wait for the next other message or the end of a wait. */
-void ph_mailbox_put_later(struct ph_mailbox *box, struct ph_mail *mail);
+void ph_mailbox_put_no_wake(struct ph_mailbox *box, struct ph_mail *mail);
 
 /** Takes all messages in order, waiting up to wait_us for the first. */
 struct ph_mail *ph_mailbox_take(struct ph_mailbox *box, uint64_t wait_us);
--- a/src/transport.c
+++ b/src/transport.c
@@ -16,12 +16,16 @@
 #include "transport.h"
 
 #define PART "peer"
-#define POLL_US 100000
-#define MAX_SOCKETS 256
-#define READ_BYTES 65536
-#define OUT_MAX_BYTES (64U << 20)
+/* Longest time between two checks for connection attempts to time out. */
+#define POLL_TIMEOUT_US 100000
+#define POLLSET_SIZE 256
+#define READ_CHUNK_BYTES 65536
+/* Most output queued for one peer; beyond it the connection is closed. */
+#define SEND_BUFFER_MAX_BYTES (64U << 20)
 #define CONNECT_TIMEOUT_US 1000000
-#define REDIAL_US 50000
+/* Shortest time between two attempts to connect to a peer; frames sent to it
+ * in between, while it is not connected, are dropped. */
+#define REDIAL_INTERVAL_US 50000
 
 enum link_state {
 	LINK_IDLE,
@@ -29,40 +33,48 @@
 	LINK_UP,
 };
 
-/* What a polled socket belongs to; the first member of its owner. */
-struct polled {
+/* Handles the events of a polled socket. It is the first member of the struct
+ * that owns the socket, so that the client_data of the poll set points to
+ * either. */
+struct poll_handler {
 	void (*event)(struct ph_transport *tp, void *owner,
 		      const apr_pollfd_t *fd);
 };
 
-/* An outgoing connection, kept by address. */
+/* The outgoing connection to one address; kept while it is not connected. */
 struct link {
-	struct polled polled;
+	struct poll_handler handler;
 	struct link *next;
 	char addr[PH_ADDR_BYTES];
 	enum link_state state;
 	apr_pool_t *pool;
 	apr_socket_t *sock;
 	apr_pollfd_t fd;
+	/* Bytes to send. */
 	struct ph_buf out;
 	apr_time_t dialed_at;
+	/* Polled for writability as well. */
 	bool want_write;
+	/* Registered with the poll set. */
 	bool watched;
 };
 
 /* An accepted connection. */
 struct inbound {
-	struct polled polled;
+	struct poll_handler handler;
 	struct inbound *next;
 	apr_pool_t *pool;
 	apr_socket_t *sock;
 	apr_pollfd_t fd;
+	/* Received bytes that are not handled yet. */
 	struct ph_buf in;
+	/* To be freed at the end of the current turn of the event loop. */
 	bool closed;
 };
 
-struct frame {
-	struct frame *next;
+/* A frame queued by another thread; len 0 asks to close the connection. */
+struct queued_frame {
+	struct queued_frame *next;
 	char addr[PH_ADDR_BYTES];
 	size_t len;
 	char data[];
@@ -70,25 +82,28 @@
 
 struct ph_transport {
 	const struct ph_mem *mem;
-	struct ph_peer_options opt;
+	struct ph_transport_options opt;
 	apr_pool_t *pool;
 	apr_pollset_t *pollset;
+	/** Guards the queue of frames. */
 	apr_thread_mutex_t *lock;
 	apr_thread_t *thread;
 	apr_socket_t *listener;
 	apr_pollfd_t listen_fd;
-	struct frame *head;
-	struct frame *tail;
-	struct polled listening;
-	/** By address. */
+	struct queued_frame *queue_head;
+	struct queued_frame *queue_tail;
+	struct poll_handler accept_handler;
+	/** Outgoing connections by address. */
 	apr_hash_t *links;
 	struct link *first_link;
 	struct inbound *inbounds;
-	/** Links that are being dialed. */
+	/** Number of links in LINK_CONNECTING. */
 	uint32_t dialing;
-	/** Some inbound connection is to be dropped. */
-	bool closed;
+	/** Some inbound connection is closed and not freed yet. */
+	bool any_inbound_closed;
+	/** Updated and read atomically. */
 	struct ph_transport_counters counters;
+	/** Set by ph_transport_free; atomic. */
 	bool stop;
 };
 
@@ -97,9 +112,10 @@
 	__atomic_add_fetch(counter, n, __ATOMIC_RELAXED);
 }
 
-/* ## Outgoing */
+/* ## Outgoing connections */
 
-static void link_poll(struct ph_transport *tp, struct link *l, bool write)
+/* Polls the link's socket for closing and, if write is set, writability. */
+static void link_watch(struct ph_transport *tp, struct link *l, bool write)
 {
 	if (l->watched)
 		apr_pollset_remove(tp->pollset, &l->fd);
@@ -113,8 +129,8 @@
 	l->want_write = write;
 }
 
-static void link_state(struct ph_transport *tp, struct link *l,
-		       enum link_state state)
+static void link_set_state(struct ph_transport *tp, struct link *l,
+			   enum link_state state)
 {
 	tp->dialing += state == LINK_CONNECTING;
 	tp->dialing -= l->state == LINK_CONNECTING;
@@ -130,10 +146,12 @@
 		apr_pool_destroy(l->pool);
 	l->pool = NULL;
 	l->sock = NULL;
-	link_state(tp, l, LINK_IDLE);
+	link_set_state(tp, l, LINK_IDLE);
 	ph_buf_free(&l->out);
 }
 
+/* Closes a link and reports why: a refused connection, or the loss of an
+ * established one. Other failures to connect are not reported. */
 static void link_failed(struct ph_transport *tp, struct link *l, int error)
 {
 	enum link_state was = l->state;
@@ -177,8 +195,8 @@
 	apr_socket_opt_set(l->sock, APR_TCP_NODELAY, 1);
 	apr_socket_bind(l->sock, from);
 	st = apr_socket_connect(l->sock, to);
-	link_state(tp, l, st ? LINK_CONNECTING : LINK_UP);
-	link_poll(tp, l, true);
+	link_set_state(tp, l, st ? LINK_CONNECTING : LINK_UP);
+	link_watch(tp, l, true);
 	if (st && !APR_STATUS_IS_EINPROGRESS(st))
 		link_failed(tp, l, APR_TO_OS_ERROR(st));
 }
@@ -199,10 +217,11 @@
 		}
 	}
 	if (l->want_write != (l->out.len > 0))
-		link_poll(tp, l, l->out.len > 0);
+		link_watch(tp, l, l->out.len > 0);
 }
 
-static int socket_error(const struct link *l)
+/* Returns the errno of the attempt to connect, 0 if there is none. */
+static int connect_error(const struct link *l)
 {
 	apr_os_sock_t fd;
 	int error = 0;
@@ -213,8 +232,9 @@
 	return error;
 }
 
-/* Nothing is ever sent to a dialer, so readable means closed. */
-static bool link_closed(const struct link *l)
+/* Tells whether the peer has closed the connection. An accepting instance
+ * sends nothing, so that a readable socket means closed. */
+static bool link_closed_by_peer(const struct link *l)
 {
 	char byte;
 	apr_size_t n = 1;
@@ -227,7 +247,7 @@
 		       apr_int16_t events)
 {
 	if (l->state == LINK_CONNECTING) {
-		int error = socket_error(l);
+		int error = connect_error(l);
 
 		if (error) {
 			link_failed(tp, l, error);
@@ -235,10 +255,10 @@
 		}
 		if (!(events & APR_POLLOUT))
 			return;
-		link_state(tp, l, LINK_UP);
+		link_set_state(tp, l, LINK_UP);
 	}
 	if ((events & (APR_POLLIN | APR_POLLHUP | APR_POLLERR)) &&
-	    link_closed(l)) {
+	    link_closed_by_peer(l)) {
 		link_failed(tp, l, 0);
 		return;
 	}
@@ -250,11 +270,12 @@
 {
 	struct link *l = owner;
 
-	/* The event may be of a socket that has been closed since. */
+	/* An earlier event of this turn may have closed the socket. */
 	if (l->sock == fd->desc.s)
 		link_event(tp, l, fd->rtnevents);
 }
 
+/* Returns the link to an address, which it creates if need be. */
 static struct link *link_get(struct ph_transport *tp, const char *addr)
 {
 	struct link *l = apr_hash_get(tp->links, addr, APR_HASH_KEY_STRING);
@@ -262,7 +283,7 @@
 	if (l)
 		return l;
 	l = tp->mem->calloc(1, sizeof(*l));
-	l->polled.event = on_link_event;
+	l->handler.event = on_link_event;
 	ph_strcopy(l->addr, sizeof(l->addr), addr);
 	ph_buf_init(&l->out, tp->mem);
 	l->next = tp->first_link;
@@ -271,15 +292,18 @@
 	return l;
 }
 
-static void send_frame(struct ph_transport *tp, const struct frame *f)
+static void send_frame(struct ph_transport *tp, const struct queued_frame *f)
 {
 	struct link *l = link_get(tp, f->addr);
 	apr_time_t now = apr_time_now();
 
-	if (l->state == LINK_IDLE && now < l->dialed_at + REDIAL_US)
+	if (l->state == LINK_IDLE && now < l->dialed_at + REDIAL_INTERVAL_US)
 		return;
-	if (l->out.len + f->len > OUT_MAX_BYTES) {
-		ph_log(PART, "Output to %s is full, closing.", l->addr);
+	if (l->out.len + f->len > SEND_BUFFER_MAX_BYTES) {
+		ph_log(PART,
+		       "Send buffer for %s is full (%zu bytes); dropping it "
+		       "and closing the connection.",
+		       l->addr, l->out.len);
 		link_failed(tp, l, 0);
 		return;
 	}
@@ -290,17 +314,17 @@
 		link_write(tp, l);
 }
 
-static void send_all(struct ph_transport *tp)
+static void send_queued(struct ph_transport *tp)
 {
-	struct frame *f;
+	struct queued_frame *f;
 
 	apr_thread_mutex_lock(tp->lock);
-	f = tp->head;
-	tp->head = NULL;
-	tp->tail = NULL;
+	f = tp->queue_head;
+	tp->queue_head = NULL;
+	tp->queue_tail = NULL;
 	apr_thread_mutex_unlock(tp->lock);
 	while (f) {
-		struct frame *next = f->next;
+		struct queued_frame *next = f->next;
 
 		if (f->len)
 			send_frame(tp, f);
@@ -311,7 +335,7 @@
 	}
 }
 
-static void check_dials(struct ph_transport *tp)
+static void time_out_dials(struct ph_transport *tp)
 {
 	apr_time_t now = apr_time_now();
 	struct link *l;
@@ -324,18 +348,21 @@
 			link_failed(tp, l, ETIMEDOUT);
 }
 
-/* ## Incoming */
+/* ## Incoming connections */
 
-/* Has a connection dropped once no event of this turn can name it any more. */
+/* Marks a connection as closed. It is freed at the end of the turn: a later
+ * event of the same turn may still refer to it. */
 static void inbound_close(struct ph_transport *tp, struct inbound *in)
 {
 	in->closed = true;
-	tp->closed = true;
+	tp->any_inbound_closed = true;
 }
 
-/* Handles one whole frame; returns its length, 0 if there is none yet. */
-static size_t take_frame(struct ph_transport *tp, struct inbound *in,
-			 size_t from)
+/* Handles the frame at offset from, if it has arrived whole. Returns its length
+ * with the prefix; 0 if it is incomplete or bad, the latter closing the
+ * connection. */
+static size_t handle_frame(struct ph_transport *tp, struct inbound *in,
+			   size_t from)
 {
 	size_t left = in->in.len - from;
 	uint32_t len;
@@ -357,8 +384,10 @@
 		goto bad;
 	return PH_MSG_FRAME_BYTES + len;
 bad:
-	ph_log(PART, "Bad message (%s), closing the connection.",
-	       ph_strerror(err));
+	ph_log(PART,
+	       "Rejected a frame of %u bytes from a peer (%s); closing the "
+	       "connection.",
+	       len, ph_strerror(err));
 	count(&tp->counters.bad_frames, 1);
 	inbound_close(tp, in);
 	return 0;
@@ -368,7 +397,7 @@
 			     const apr_pollfd_t *fd)
 {
 	struct inbound *in = owner;
-	char data[READ_BYTES];
+	char data[READ_CHUNK_BYTES];
 	size_t used = 0;
 	size_t n;
 
@@ -388,7 +417,7 @@
 			break;
 		}
 	}
-	while ((n = take_frame(tp, in, used)))
+	while ((n = handle_frame(tp, in, used)))
 		used += n;
 	ph_buf_consume(&in->in, used);
 }
@@ -415,7 +444,7 @@
 	in->fd.reqevents = APR_POLLIN;
 	in->fd.client_data = in;
 	apr_pollset_add(tp->pollset, &in->fd);
-	in->polled.event = on_inbound_event;
+	in->handler.event = on_inbound_event;
 	in->next = tp->inbounds;
 	tp->inbounds = in;
 }
@@ -428,13 +457,13 @@
 	tp->mem->free(in);
 }
 
-static void drop_closed(struct ph_transport *tp)
+static void free_closed_inbounds(struct ph_transport *tp)
 {
 	struct inbound **at = &tp->inbounds;
 
-	if (!tp->closed)
+	if (!tp->any_inbound_closed)
 		return;
-	tp->closed = false;
+	tp->any_inbound_closed = false;
 	while (*at) {
 		struct inbound *in = *at;
 
@@ -449,7 +478,7 @@
 
 /* ## Thread */
 
-static void *APR_THREAD_FUNC run(apr_thread_t *thread, void *data)
+static void *APR_THREAD_FUNC event_loop(apr_thread_t *thread, void *data)
 {
 	struct ph_transport *tp = data;
 
@@ -459,16 +488,16 @@
 		apr_int32_t n = 0;
 		apr_int32_t i;
 
-		send_all(tp);
-		if (apr_pollset_poll(tp->pollset, POLL_US, &n, &fds))
+		send_queued(tp);
+		if (apr_pollset_poll(tp->pollset, POLL_TIMEOUT_US, &n, &fds))
 			n = 0;
 		for (i = 0; i < n; i++) {
-			struct polled *polled = fds[i].client_data;
+			struct poll_handler *handler = fds[i].client_data;
 
-			polled->event(tp, polled, &fds[i]);
+			handler->event(tp, handler, &fds[i]);
 		}
-		drop_closed(tp);
-		check_dials(tp);
+		free_closed_inbounds(tp);
+		time_out_dials(tp);
 	}
 	return NULL;
 }
@@ -491,13 +520,14 @@
 	tp->listen_fd.desc_type = APR_POLL_SOCKET;
 	tp->listen_fd.desc.s = tp->listener;
 	tp->listen_fd.reqevents = APR_POLLIN;
-	tp->listening.event = on_accept;
-	tp->listen_fd.client_data = &tp->listening;
+	tp->accept_handler.event = on_accept;
+	tp->listen_fd.client_data = &tp->accept_handler;
 	apr_pollset_add(tp->pollset, &tp->listen_fd);
 	return 0;
 }
 
-struct ph_transport *ph_transport_new(const struct ph_peer_options *options)
+struct ph_transport *
+ph_transport_new(const struct ph_transport_options *options)
 {
 	struct ph_transport *tp = options->mem->calloc(1, sizeof(*tp));
 
@@ -506,36 +536,37 @@
 	apr_pool_create(&tp->pool, NULL);
 	apr_thread_mutex_create(&tp->lock, APR_THREAD_MUTEX_DEFAULT, tp->pool);
 	tp->links = apr_hash_make(tp->pool);
-	apr_pollset_create(&tp->pollset, MAX_SOCKETS, tp->pool,
+	apr_pollset_create(&tp->pollset, POLLSET_SIZE, tp->pool,
 			   APR_POLLSET_WAKEABLE | APR_POLLSET_NOCOPY);
 	if (listen_on(tp)) {
 		apr_pool_destroy(tp->pool);
 		tp->mem->free(tp);
 		return NULL;
 	}
-	apr_thread_create(&tp->thread, NULL, run, tp, tp->pool);
+	apr_thread_create(&tp->thread, NULL, event_loop, tp, tp->pool);
 	return tp;
 }
 
 void ph_transport_send(struct ph_transport *tp, const char *addr,
 		       const char *data, size_t len)
 {
-	struct frame *f = tp->mem->calloc(1, sizeof(*f) + len);
+	struct queued_frame *f = tp->mem->calloc(1, sizeof(*f) + len);
 
 	ph_strcopy(f->addr, sizeof(f->addr), addr);
 	f->len = len;
 	memcpy(f->data, data, len);
 	apr_thread_mutex_lock(tp->lock);
-	if (tp->tail)
-		tp->tail->next = f;
+	if (tp->queue_tail)
+		tp->queue_tail->next = f;
 	else
-		tp->head = f;
-	tp->tail = f;
+		tp->queue_head = f;
+	tp->queue_tail = f;
 	apr_thread_mutex_unlock(tp->lock);
 	apr_pollset_wakeup(tp->pollset);
 }
 
-/* An empty frame stands for the reset, in order with those before it. */
+/* Queues an empty frame, so that the reset takes effect in the order of the
+ * calls. */
 void ph_transport_reset(struct ph_transport *tp, const char *addr)
 {
 	ph_transport_send(tp, addr, "", 0);
@@ -577,10 +608,10 @@
 		tp->inbounds = in->next;
 		inbound_free(tp, in);
 	}
-	while (tp->head) {
-		struct frame *f = tp->head;
+	while (tp->queue_head) {
+		struct queued_frame *f = tp->queue_head;
 
-		tp->head = f->next;
+		tp->queue_head = f->next;
 		tp->mem->free(f);
 	}
 	apr_pool_destroy(tp->pool);
--- a/src/transport.h
+++ b/src/transport.h
@@ -2,53 +2,72 @@
 #define PH_TRANSPORT_H
 
 /*
- * Frames between entry instances over TCP, on a thread of its own. Each
- * instance dials the others for what it sends; accepted connections are only
- * read.
+ * Sends and receives length-prefixed frames between instances over TCP, on a
+ * thread of its own. A connection carries frames in one direction only: an
+ * instance dials each peer that it sends to, and only reads from connections
+ * that it accepts. Delivery is best effort: frames for a peer that can't be
+ * reached are dropped.
  */
 
 #include "msg.h"
 
-/** Events, called on the transport's thread. */
-struct ph_peer_events {
-	/** A frame arrived, without its length; an error closes its link. */
+/** Callbacks of the transport; all run on its thread. */
+struct ph_transport_events {
+	/**
+	 * Takes a received frame, without its length prefix. A negative error
+	 * number closes the connection that it came from.
+	 */
 	int (*frame)(void *ctx, const char *data, size_t len);
-	/** Nothing listens at "ip:port". */
+	/** The peer at "ip:port" refused the connection (ECONNREFUSED). */
 	void (*refused)(void *ctx, const char *addr);
-	/** A connection that was in use has broken. */
+	/**
+	 * An established connection to "ip:port" was lost or closed; what was
+	 * still queued for it is dropped.
+	 */
 	void (*broken)(void *ctx, const char *addr);
 };
 
-struct ph_peer_options {
+struct ph_transport_options {
 	const struct ph_mem *mem;
-	/** IP number to listen on and to dial from. */
+	/** Local IP address to listen on and to dial from. */
 	const char *address;
 	uint16_t port;
-	const struct ph_peer_events *events;
+	const struct ph_transport_events *events;
 	void *ctx;
 };
 
 struct ph_transport;
 
-/** Binds and starts; returns NULL if the address can't be had. */
-struct ph_transport *ph_transport_new(const struct ph_peer_options *options);
+/** Listens and starts the thread; returns NULL if it can't listen. */
+struct ph_transport *
+ph_transport_new(const struct ph_transport_options *options);
+
+/** Stops the thread and closes all connections; queued frames are dropped. */
 void ph_transport_free(struct ph_transport *transport);
 
-/** Queues an encoded frame for "ip:port"; any thread. */
+/**
+ * Queues a copy of an encoded frame, length prefix included, for the peer at
+ * "ip:port" and connects to it if need be. May be called on any thread.
+ */
 void ph_transport_send(struct ph_transport *transport, const char *addr,
 		       const char *frame, size_t len);
 
-/** Closes the link to "ip:port"; the next frame opens a new one. */
+/**
+ * Closes the connection to "ip:port" and drops what it has not sent yet; a
+ * frame queued afterwards opens a new one. May be called on any thread.
+ */
 void ph_transport_reset(struct ph_transport *transport, const char *addr);
 
 struct ph_transport_counters {
 	uint64_t bytes_sent;
 	uint64_t bytes_received;
+	/** Received frames that were too long or failed to decode. */
 	uint64_t bad_frames;
+	/** Attempts to open a connection. */
 	uint64_t dials;
 };
 
-/** A snapshot of the counters; any thread. */
+/** Reads the counters, each atomically. May be called on any thread. */
 void ph_transport_counters(const struct ph_transport *transport,
 			   struct ph_transport_counters *counters);
 
--- a/test/test_httpc.cc
+++ b/test/test_httpc.cc
@@ -32,7 +32,7 @@
 	return at;
 }
 
-/* A socket bound to a free port of the loopback. */
+/* Returns a socket that is bound to a free port of the loopback interface. */
 int bind_any(uint16_t *port)
 {
 	sockaddr_in at = loopback(0);
@@ -45,12 +45,13 @@
 	return fd;
 }
 
-/* A port that leaves connections unanswered: its queue is full. */
-struct SilentPort {
+/* A port whose backlog is full, so that the kernel leaves further connection
+ * attempts unanswered. */
+struct FullBacklogPort {
 	uint16_t port;
 	std::vector<int> fds;
 
-	SilentPort()
+	FullBacklogPort()
 	{
 		int listener = bind_any(&port);
 		sockaddr_in at = loopback(port);
@@ -66,21 +67,21 @@
 		}
 	}
 
-	~SilentPort()
+	~FullBacklogPort()
 	{
 		for (int fd : fds)
 			close(fd);
 	}
 };
 
-/* Calls of a client and how they ended. */
-struct Calls {
+/* An HTTP client that records the results of its calls. */
+struct RecordingClient {
 	std::mutex lock;
 	std::condition_variable changed;
 	std::vector<ph_http_result> ended;
 	ph_httpc *client;
 
-	Calls()
+	RecordingClient()
 	{
 		ph_httpc_options o = {};
 
@@ -92,21 +93,22 @@
 		client = ph_httpc_new(&o);
 	}
 
-	~Calls()
+	~RecordingClient()
 	{
 		ph_httpc_free(client);
 	}
 
 	static void on_done(void *ctx, void *, const ph_http_result *result)
 	{
-		Calls *c = static_cast<Calls *>(ctx);
+		RecordingClient *c = static_cast<RecordingClient *>(ctx);
 		std::lock_guard<std::mutex> held(c->lock);
 
 		c->ended.push_back(*result);
 		c->changed.notify_one();
 	}
 
-	/* Sends calls side by side and waits until all have ended. */
+	/* Sends calls concurrently and waits until all have ended. Their bodies
+	 * are not kept. */
 	std::vector<ph_http_result> send(uint16_t port, int count,
 					 uint64_t timeout_us)
 	{
@@ -129,7 +131,7 @@
 	}
 };
 
-void answer(void *, ph_http_req *req)
+void reply_ok(void *, ph_http_req *req)
 {
 	ph_http_reply reply = {};
 
@@ -139,16 +141,17 @@
 	ph_http_req_reply(req, &reply);
 }
 
-/* libcurl closes sockets that never connected without a word; their numbers
- * come back with the next connections. */
-TEST(Httpc, CallsAfterHangingConnectionsAreAnswered)
+/* libcurl does not report that it closes a socket which never connected. The
+ * next connections get the same descriptors; if the client still takes these
+ * for registered with epoll, it misses their events and the calls time out. */
+TEST(Httpc, CallsAfterConnectTimeoutsAreAnswered)
 {
 	constexpr int kCalls = 12;
-	/* Below the second after which libcurl looks at a connection that it
-	 * was not told of. */
-	constexpr uint64_t kDeadlineUs = 900 * kMs;
-	Calls calls;
-	SilentPort silent;
+	/* Less than 1 s, after which libcurl checks a connection by itself also
+	 * if no event of it was reported. */
+	constexpr uint64_t kTimeoutUs = 900 * kMs;
+	RecordingClient client;
+	FullBacklogPort unanswered;
 	ph_httpd_options o = {};
 	uint16_t port;
 
@@ -157,16 +160,16 @@
 	o.address = "127.0.0.1";
 	o.port = port;
 	o.max_body_bytes = 1000;
-	o.handler = answer;
+	o.handler = reply_ok;
 	ph_httpd *server = ph_httpd_new(&o);
 
 	ASSERT_NE(server, nullptr);
 	for (int round = 0; round < 3; round++) {
 		for (const ph_http_result &r :
-		     calls.send(silent.port, kCalls, 100 * kMs))
+		     client.send(unanswered.port, kCalls, 100 * kMs))
 			EXPECT_EQ(r.err, PH_ERR_UNREACHABLE);
 		for (const ph_http_result &r :
-		     calls.send(port, kCalls, kDeadlineUs)) {
+		     client.send(port, kCalls, kTimeoutUs)) {
 			EXPECT_EQ(r.err, 0);
 			EXPECT_EQ(r.status, 200);
 		}
