--- a/src/platform.c
+++ b/src/platform.c
@@ -9,8 +9,10 @@
 
 #define URL_BYTES 512
 #define US_PER_MS 1000U
-#define SLACK_US 2000000U
-#define CONNECTIONS 64U
+/* Time that a long poll's answer may come after the end of its wait. */
+#define LONG_POLL_GRACE_US 2000000U
+#define CONNECTIONS_PER_HOST 64U
+/* Slots of an instance whose service entry does not say how many it has. */
 #define DEFAULT_SLOTS 8
 
 enum call_type {
@@ -19,6 +21,7 @@
 	CALL_LIST,
 };
 
+/* An operation under way. */
 struct call {
 	struct http_platform *platform;
 	enum call_type type;
@@ -91,7 +94,7 @@
 		 (unsigned long long)(p->opt.watch_wait_us / US_PER_MS),
 		 prefix ? "&recurse=true" : "");
 	send_call(p, CALL_GET, "GET", url, NULL, 0,
-		  p->opt.watch_wait_us + SLACK_US, done, ctx);
+		  p->opt.watch_wait_us + LONG_POLL_GRACE_US, done, ctx);
 }
 
 static void http_list(struct ph_platform *base, const char *service,
@@ -105,7 +108,7 @@
 		 service, (unsigned long long)index,
 		 (unsigned long long)(p->opt.watch_wait_us / US_PER_MS));
 	send_call(p, CALL_LIST, "GET", url, NULL, 0,
-		  p->opt.watch_wait_us + SLACK_US, done, ctx);
+		  p->opt.watch_wait_us + LONG_POLL_GRACE_US, done, ctx);
 }
 
 static void http_free(struct ph_platform *base)
@@ -126,24 +129,27 @@
 
 /* ## Replies */
 
+/* Reads one entry of the key-value store's answer; the caller frees the value.
+ * Returns false if a field is missing. */
 static bool read_item(const struct ph_mem *mem, json_t *entry,
 		      struct ph_platform_item *item)
 {
 	const char *key = json_string_value(json_object_get(entry, "Key"));
-	const char *coded = json_string_value(json_object_get(entry, "Value"));
+	const char *base64 = json_string_value(json_object_get(entry, "Value"));
 	json_t *index = json_object_get(entry, "ModifyIndex");
 	char *value;
 
-	if (!key || !coded || !json_is_integer(index))
+	if (!key || !base64 || !json_is_integer(index))
 		return false;
-	value = mem->calloc(1, (size_t)apr_base64_decode_len(coded) + 1);
+	value = mem->calloc(1, (size_t)apr_base64_decode_len(base64) + 1);
 	item->key = key;
-	item->len = (size_t)apr_base64_decode(value, coded);
+	item->len = (size_t)apr_base64_decode(value, base64);
 	item->value = value;
 	item->index = (uint64_t)json_integer_value(index);
 	return true;
 }
 
+/* Reports the answer to a get or watch. */
 static void finish_get(struct call *c, const struct ph_http_result *result,
 		       struct ph_platform_reply *reply)
 {
@@ -171,6 +177,7 @@
 	json_decref(doc);
 }
 
+/* Reads one instance of the health list; returns false if it is malformed. */
 static bool read_listed(json_t *entry, struct ph_listed *out)
 {
 	const char *id;
@@ -195,6 +202,7 @@
 	return true;
 }
 
+/* Reports the answer to list_instances. */
 static void finish_list(struct call *c, const struct ph_http_result *result,
 			struct ph_platform_reply *reply)
 {
@@ -246,7 +254,7 @@
 	struct http_platform *p = options->mem->calloc(1, sizeof(*p));
 	struct ph_httpc_options http = {
 		.mem = options->mem,
-		.connections_per_host = CONNECTIONS,
+		.connections_per_host = CONNECTIONS_PER_HOST,
 		.source = options->source,
 		.done = on_done,
 		.ctx = p,
