--- a/src/clock.c
+++ b/src/clock.c
@@ -30,8 +30,8 @@
 
 uint64_t ph_clock_suspended_us(void)
 {
-	uint64_t steady_us = read_us(CLOCK_MONOTONIC);
-	uint64_t all_us = read_us(CLOCK_BOOTTIME);
+	uint64_t monotonic_us = read_us(CLOCK_MONOTONIC);
+	uint64_t boot_us = read_us(CLOCK_BOOTTIME);
 
-	return all_us > steady_us ? all_us - steady_us : 0;
+	return boot_us > monotonic_us ? boot_us - monotonic_us : 0;
 }
--- a/src/clock.h
+++ b/src/clock.h
@@ -1,18 +1,23 @@
 #ifndef PH_CLOCK_H
 #define PH_CLOCK_H
 
-/* The clocks that drivers read; deciders are given the time. */
+/*
+ * Clocks. Only code that runs threads and I/O reads them; the modules that make
+ * decisions get the time as a parameter, so that tests can set it.
+ */
 
 #include <stdint.h>
 
-/** Steady clock, microseconds; any thread. */
+/** Monotonic time in microseconds; stands still while the machine sleeps. */
 uint64_t ph_clock_us(void);
 
-/** Unix time, milliseconds; any thread. */
+/** Unix time in milliseconds. */
 uint64_t ph_clock_unix_ms(void);
 
-/** Time that the steady clock has not counted while the machine was
- * suspended. */
+/**
+ * Microseconds that the machine has spent suspended since it was booted, which
+ * ph_clock_us does not count.
+ */
 uint64_t ph_clock_suspended_us(void);
 
 #endif
--- a/src/daemon.c
+++ b/src/daemon.c
@@ -14,7 +14,8 @@
 	signal(SIGPIPE, SIG_IGN);
 }
 
-void ph_daemon_handle_signals(const struct ph_daemon *daemon, const sigset_t *signals)
+void ph_daemon_handle_signals(const struct ph_daemon *daemon,
+			      const sigset_t *signals)
 {
 	int sig;
 
--- a/src/daemon.h
+++ b/src/daemon.h
@@ -1,24 +1,33 @@
 #ifndef PH_DAEMON_H
 #define PH_DAEMON_H
 
-/* What the programs that run until they are stopped share: their signals. */
+/* Signal handling of the programs that run until they are stopped. */
 
 #include <signal.h>
 
+/** Actions on signals; they run on the main thread, not in a signal handler. */
 struct ph_daemon {
-	/** SIGUSR1: writes the state to the log. */
+	/** On SIGUSR1: writes the state to the log. */
 	void (*dump)(void *ctx);
-	/** SIGHUP; flags and environment are fixed for a process. */
+	/**
+	 * On SIGHUP, which must not end the program. Flags and environment
+	 * variables are read at start only.
+	 */
 	void (*reload)(void *ctx);
-	/** SIGTERM or SIGINT: stops gracefully, and returns when done. */
+	/** On SIGTERM or SIGINT: stops gracefully; returns when stopped. */
 	void (*stop)(void *ctx);
 	void *ctx;
 };
 
-/** Blocks the signals in all threads to come; before the first is started. */
+/**
+ * Blocks the handled signals in this thread and those that it starts from now
+ * on, ignores SIGPIPE, and sets *signals for ph_daemon_handle_signals. Call it
+ * before any thread is started.
+ */
 void ph_daemon_block_signals(sigset_t *signals);
 
-/** Takes signals, by one call in the main thread, until the program stops. */
-void ph_daemon_handle_signals(const struct ph_daemon *daemon, const sigset_t *signals);
+/** Waits for signals and acts on them; returns after stop has returned. */
+void ph_daemon_handle_signals(const struct ph_daemon *daemon,
+			      const sigset_t *signals);
 
 #endif
--- a/src/httpd.c
+++ b/src/httpd.c
@@ -6,6 +6,7 @@
 
 #include "httpd.h"
 
+/* Connections without activity for this long are closed. */
 #define IDLE_TIMEOUT_S 120U
 #define CONNECTION_LIMIT 8192U
 
@@ -13,7 +14,8 @@
 	const struct ph_mem *mem;
 	struct ph_httpd_options opt;
 	struct MHD_Daemon *daemon;
-	int quiesced_fd;
+	/** Listening socket given back by the daemon, to be closed; or -1. */
+	int listen_fd;
 };
 
 struct ph_http_req {
@@ -22,8 +24,11 @@
 	const char *method;
 	char *path;
 	struct ph_buf body;
+	/** The body is over the limit; the excess has been dropped. */
 	bool too_large;
+	/** Passed to the handler. */
 	bool handed_over;
+	/** The reply; response is NULL until there is one. */
 	bool abort;
 	int status;
 	struct MHD_Response *response;
@@ -60,6 +65,7 @@
 	req->response = r;
 }
 
+/* Sends the response; MHD_NO makes libmicrohttpd close the connection. */
 static enum MHD_Result queue_response(struct ph_http_req *req)
 {
 	if (req->abort)
@@ -68,7 +74,7 @@
 				  req->response);
 }
 
-static enum MHD_Result reject_large(struct ph_http_req *req)
+static enum MHD_Result reject_too_large(struct ph_http_req *req)
 {
 	static const char doc[] =
 		"{\"error\":\"body over 1 MB\",\"field\":\"/\"}";
@@ -80,6 +86,9 @@
 	return queue_response(req);
 }
 
+/* The daemon's access handler. libmicrohttpd calls it for the request's
+ * headers, for each part of the body, at the end of the body, and again once
+ * ph_http_req_reply has resumed the connection. */
 static enum MHD_Result on_request(void *ctx, struct MHD_Connection *connection,
 				  const char *url, const char *method,
 				  const char *version, const char *data,
@@ -102,7 +111,7 @@
 		return MHD_YES;
 	}
 	if (req->too_large)
-		return reject_large(req);
+		return reject_too_large(req);
 	if (req->handed_over)
 		return queue_response(req);
 	req->handed_over = true;
@@ -111,6 +120,7 @@
 	return MHD_YES;
 }
 
+/* Frees a request after its response was sent or its connection closed. */
 static void on_completed(void *ctx, struct MHD_Connection *connection,
 			 void **state, enum MHD_RequestTerminationCode code)
 {
@@ -140,7 +150,7 @@
 
 	httpd->mem = options->mem;
 	httpd->opt = *options;
-	httpd->quiesced_fd = -1;
+	httpd->listen_fd = -1;
 	inet_pton(AF_INET, options->address, &at.sin_addr);
 	httpd->daemon = MHD_start_daemon(
 		flags, options->port, NULL, NULL, on_request, httpd,
@@ -158,11 +168,11 @@
 
 void ph_httpd_quiesce(struct ph_httpd *httpd)
 {
-	if (httpd->quiesced_fd < 0)
-		httpd->quiesced_fd = MHD_quiesce_daemon(httpd->daemon);
-	if (httpd->quiesced_fd >= 0)
-		close(httpd->quiesced_fd);
-	httpd->quiesced_fd = -1;
+	if (httpd->listen_fd < 0)
+		httpd->listen_fd = MHD_quiesce_daemon(httpd->daemon);
+	if (httpd->listen_fd >= 0)
+		close(httpd->listen_fd);
+	httpd->listen_fd = -1;
 }
 
 void ph_httpd_free(struct ph_httpd *httpd)
--- a/src/mailbox.c
+++ b/src/mailbox.c
@@ -10,11 +10,11 @@
 	const struct ph_mem *mem;
 	apr_pool_t *pool;
 	apr_thread_mutex_t *lock;
-	apr_thread_cond_t *filled;
+	apr_thread_cond_t *wake_cond;
 	struct ph_mail *head;
 	struct ph_mail *tail;
-	/** Some message is not to wait. */
-	bool urgent;
+	/** The queue holds a message that wakes the receiver. */
+	bool wake;
 };
 
 struct ph_mailbox *ph_mailbox_new(const struct ph_mem *mem)
@@ -25,7 +25,7 @@
 	apr_pool_create(&box->pool, NULL);
 	apr_thread_mutex_create(&box->lock, APR_THREAD_MUTEX_DEFAULT,
 				box->pool);
-	apr_thread_cond_create(&box->filled, box->pool);
+	apr_thread_cond_create(&box->wake_cond, box->pool);
 	return box;
 }
 
@@ -51,9 +51,9 @@
 {
 	apr_thread_mutex_lock(box->lock);
 	append(box, mail);
-	if (!box->urgent)
-		apr_thread_cond_signal(box->filled);
-	box->urgent = true;
+	if (!box->wake)
+		apr_thread_cond_signal(box->wake_cond);
+	box->wake = true;
 	apr_thread_mutex_unlock(box->lock);
 }
 
@@ -69,13 +69,13 @@
 	struct ph_mail *head;
 
 	apr_thread_mutex_lock(box->lock);
-	if (!box->urgent && wait_us)
-		apr_thread_cond_timedwait(box->filled, box->lock,
+	if (!box->wake && wait_us)
+		apr_thread_cond_timedwait(box->wake_cond, box->lock,
 					  (apr_interval_time_t)wait_us);
 	head = box->head;
 	box->head = NULL;
 	box->tail = NULL;
-	box->urgent = false;
+	box->wake = false;
 	apr_thread_mutex_unlock(box->lock);
 	return head;
 }
--- a/src/mailbox.h
+++ b/src/mailbox.h
@@ -1,11 +1,14 @@
 #ifndef PH_MAILBOX_H
 #define PH_MAILBOX_H
 
-/* A queue of messages from any thread to one thread. */
+/* A queue of messages from any number of threads to one receiving thread. */
 
 #include "peridothall.h"
 
-/** Head of every message; the receiver knows the rest by its type. */
+/**
+ * The first member of every message. Its type tells the receiver what struct
+ * the message is.
+ */
 struct ph_mail {
 	struct ph_mail *next;
 	int type;
@@ -14,15 +17,24 @@
 struct ph_mailbox;
 
 struct ph_mailbox *ph_mailbox_new(const struct ph_mem *mem);
+
+/** Frees the mailbox, but not the messages in it. */
 void ph_mailbox_free(struct ph_mailbox *box);
 
-/** Appends a message; the receiver owns it from then on. */
+/** Appends a message and wakes the receiver, which then owns the message. */
 void ph_mailbox_put(struct ph_mailbox *box, struct ph_mail *mail);
 
-/** Likewise; it may wait for the next other message or the end of a wait. */
+/**
+ * Appends a message without waking the receiver: it is taken with the next
+ * message that does, or when the receiver's wait ends.
+ */
 void ph_mailbox_put_no_wake(struct ph_mailbox *box, struct ph_mail *mail);
 
-/** Takes all messages in order, waiting up to wait_us for the first. */
+/**
+ * Takes all messages in the order in which they were put, NULL if there are
+ * none. Waits for up to wait_us microseconds if no message is there that wakes
+ * the receiver.
+ */
 struct ph_mail *ph_mailbox_take(struct ph_mailbox *box, uint64_t wait_us);
 
 #endif
--- a/src/main.c
+++ b/src/main.c
@@ -18,7 +18,7 @@
 	{ "submit", ph_cli_submit, "submit a job and wait for its answer" },
 	{ "status", ph_cli_status, "wait for the answer of a job" },
 	{ "cancel", ph_cli_cancel, "cancel a job" },
-	{ "replay", ph_cli_replay, "submit a file of jobs and report" },
+	{ "replay", ph_cli_replay, "submit a file of jobs and print a report" },
 	{ "config", ph_cli_config, "check a configuration document" },
 	{ "state", ph_cli_state, "print the state of an entry instance" },
 };
@@ -52,6 +52,7 @@
 	for (i = 0; i < COMMAND_COUNT; i++)
 		if (!strcmp(argv[1], commands[i].name))
 			return commands[i].run(argc - 1, argv + 1);
-	fprintf(stderr, "peridothall: unknown command %s\n", argv[1]);
+	fprintf(stderr, "peridothall: unknown command %s; see --help\n",
+		argv[1]);
 	return PH_EXIT_USAGE;
 }
