--- a/src/client.c
+++ b/src/client.c
@@ -9,14 +9,18 @@
 #include "mailbox.h"
 
 #define US_PER_S 1000000U
-#define RETRY_US 150000U
-#define WAIT_US 20000U
-#define PROGRESS_US 500000U
+/* Delay between an attempt without outcome and the next. */
+#define RETRY_DELAY_US 150000U
+/* Longest wait for results, after which attempts that are due are sent. */
+#define POLL_TIMEOUT_US 20000U
+#define PROGRESS_INTERVAL_US 500000U
+/* Time limit of ph_client_call. */
 #define CALL_TIMEOUT_US 30000000U
 #define URL_BYTES 512
 #define HEADER_BYTES 256
-#define CONNECTIONS 1024U
+#define CONNECTIONS_PER_HOST 1024U
 
+/* The result of an attempt, passed from the HTTP client's thread. */
 struct mail {
 	struct ph_mail base;
 	struct ph_client_job *job;
@@ -33,12 +37,14 @@
 	struct ph_httpc *http;
 	struct ph_client_job *jobs;
 	size_t count;
+	/** Number of jobs submitted at least once. */
 	size_t sent;
+	/** Number of jobs with an outcome. */
 	size_t ended;
 	uint64_t start_us;
 	/** Jobs that wait to be submitted again. */
-	struct ph_client_job **again;
-	size_t again_count;
+	struct ph_client_job **retries;
+	size_t retry_count;
 };
 
 static void on_done(void *ctx, void *user, const struct ph_http_result *result)
@@ -86,6 +92,7 @@
 	ph_httpc_send(run->http, &call);
 }
 
+/* Counts the tasks of each class in an answer. */
 static void count_classes(struct ph_client_job *job, json_t *tasks)
 {
 	json_t *item;
@@ -103,19 +110,20 @@
 	}
 }
 
-/* Checks that the answer is whole and this job's own. */
-static void judge(struct ph_client_job *job, const struct mail *m)
+/* Sets the outcome by an answer with status 200. It must carry the job's id and
+ * the class of each task, all done if its state is "complete". */
+static void check_answer(struct ph_client_job *job, const struct mail *m)
 {
 	json_t *doc = json_loadb(m->data, m->len, 0, NULL);
 	const char *id = json_string_value(json_object_get(doc, "id"));
 	const char *state = json_string_value(json_object_get(doc, "state"));
 	json_t *tasks = json_object_get(doc, "tasks");
 	bool complete = state && !strcmp(state, "complete");
-	uint32_t known;
+	uint32_t classified;
 
 	count_classes(job, tasks);
-	known = job->done + job->not_run + job->may_have_run;
-	if (!id || strcmp(id, job->id) != 0 || known != job->task_count ||
+	classified = job->done + job->not_run + job->may_have_run;
+	if (!id || strcmp(id, job->id) != 0 || classified != job->task_count ||
 	    (complete && job->done != job->task_count))
 		job->outcome = PH_CLIENT_INVALID_ANSWER;
 	else
@@ -130,15 +138,17 @@
 	run->ended++;
 }
 
-static void handle(struct run *run, struct mail *m)
+/* Handles and frees the result of an attempt: ends the job, or has it submitted
+ * again. */
+static void handle_result(struct run *run, struct mail *m)
 {
 	struct ph_client_job *job = m->job;
-	uint64_t due = run->start_us + job->at_us;
+	uint64_t scheduled_us = run->start_us + job->at_us;
 
 	job->status = m->status;
 	if (!m->err && m->status == 200) {
-		job->response_us = m->at_us - due;
-		judge(job, m);
+		job->response_us = m->at_us - scheduled_us;
+		check_answer(job, m);
 		run->ended++;
 		if (run->opt->keep_answers) {
 			job->answer = m->data;
@@ -150,16 +160,17 @@
 			job->answer = m->data;
 			m->data = NULL;
 		}
-	} else if (m->at_us > due + run->opt->caller_timeout_us) {
+	} else if (m->at_us > scheduled_us + run->opt->caller_timeout_us) {
 		finish(run, job, PH_CLIENT_NO_ANSWER);
 	} else {
-		job->due_us = m->at_us + RETRY_US;
-		run->again[run->again_count++] = job;
+		job->due_us = m->at_us + RETRY_DELAY_US;
+		run->retries[run->retry_count++] = job;
 	}
 	run->opt->mem->free(m->data);
 	run->opt->mem->free(m);
 }
 
+/* Submits the jobs and retries whose time has come. */
 static void submit_due(struct run *run)
 {
 	uint64_t now = ph_clock_us();
@@ -168,34 +179,35 @@
 	while (run->sent < run->count &&
 	       now >= run->start_us + run->jobs[run->sent].at_us)
 		submit(run, &run->jobs[run->sent++]);
-	while (i < run->again_count) {
-		struct ph_client_job *job = run->again[i];
+	while (i < run->retry_count) {
+		struct ph_client_job *job = run->retries[i];
 
 		if (now < job->due_us) {
 			i++;
 			continue;
 		}
-		run->again[i] = run->again[--run->again_count];
+		run->retries[i] = run->retries[--run->retry_count];
 		submit(run, job);
 	}
 }
 
+/* Time until the next job is scheduled, at most POLL_TIMEOUT_US. */
 static uint64_t wait_time_us(const struct run *run)
 {
 	uint64_t now = ph_clock_us();
 	uint64_t next;
 
 	if (run->sent == run->count)
-		return WAIT_US;
+		return POLL_TIMEOUT_US;
 	next = run->start_us + run->jobs[run->sent].at_us;
 	if (next <= now)
 		return 1;
-	return next - now < WAIT_US ? next - now : WAIT_US;
+	return next - now < POLL_TIMEOUT_US ? next - now : POLL_TIMEOUT_US;
 }
 
-static void loop(struct run *run)
+static void run_jobs(struct run *run)
 {
-	uint64_t shown = ph_clock_us();
+	uint64_t shown_us = ph_clock_us();
 
 	while (run->ended < run->count) {
 		struct ph_mail *mail;
@@ -205,12 +217,13 @@
 		while (mail) {
 			struct ph_mail *next = mail->next;
 
-			handle(run, (struct mail *)mail);
+			handle_result(run, (struct mail *)mail);
 			mail = next;
 		}
-		if (!run->opt->progress || ph_clock_us() < shown + PROGRESS_US)
+		if (!run->opt->progress ||
+		    ph_clock_us() < shown_us + PROGRESS_INTERVAL_US)
 			continue;
-		shown = ph_clock_us();
+		shown_us = ph_clock_us();
 		run->opt->progress(run->opt->ctx, run->ended, run->count);
 	}
 }
@@ -221,7 +234,7 @@
 	struct run run = { .opt = options, .jobs = jobs, .count = count };
 	struct ph_httpc_options http = {
 		.mem = options->mem,
-		.connections_per_host = CONNECTIONS,
+		.connections_per_host = CONNECTIONS_PER_HOST,
 		.done = on_done,
 		.ctx = &run,
 	};
@@ -231,26 +244,26 @@
 		if (!jobs[i].next_entry)
 			jobs[i].next_entry = (uint32_t)i;
 	run.box = ph_mailbox_new(options->mem);
-	run.again = options->mem->calloc(count, sizeof(*run.again));
+	run.retries = options->mem->calloc(count, sizeof(*run.retries));
 	run.http = ph_httpc_new(&http);
 	run.start_us = ph_clock_us();
-	loop(&run);
+	run_jobs(&run);
 	ph_httpc_free(run.http);
 	ph_mailbox_free(run.box);
-	options->mem->free(run.again);
+	options->mem->free(run.retries);
 }
 
 /* ## Single calls */
 
-struct single {
+struct single_call {
 	const struct ph_mem *mem;
 	struct ph_mailbox *box;
 };
 
-static void on_single(void *ctx, void *user,
-		      const struct ph_http_result *result)
+static void on_single_done(void *ctx, void *user,
+			   const struct ph_http_result *result)
 {
-	struct single *s = ctx;
+	struct single_call *s = ctx;
 	struct mail *m = s->mem->calloc(1, sizeof(*m));
 
 	(void)user;
@@ -264,10 +277,10 @@
 		     const char *url, const char *key, const char *body,
 		     int *status)
 {
-	struct single s = { mem, ph_mailbox_new(mem) };
+	struct single_call s = { mem, ph_mailbox_new(mem) };
 	struct ph_httpc_options options = {
 		.mem = mem,
-		.done = on_single,
+		.done = on_single_done,
 		.ctx = &s,
 	};
 	struct ph_httpc *http = ph_httpc_new(&options);
