--- a/src/cli.c
+++ b/src/cli.c
@@ -10,7 +10,7 @@
 #include "settings.h"
 
 #define URL_BYTES 512
-#define READ_BYTES 65536
+#define READ_CHUNK_BYTES 65536
 
 size_t ph_cli_split(char *text, const char **parts, size_t max)
 {
@@ -28,7 +28,7 @@
 {
 	FILE *file = strcmp(path, "-") != 0 ? fopen(path, "rb") : stdin;
 	struct ph_buf buf;
-	char data[READ_BYTES];
+	char data[READ_CHUNK_BYTES];
 	size_t n;
 
 	if (!file)
@@ -43,21 +43,23 @@
 	return ph_buf_detach(&buf);
 }
 
-/* ## One job */
+/* ## Requests for one job */
 
-struct one {
+struct job_options {
 	const char *entry;
 	const char *key;
 	const char *service;
 };
 
-/* Prints and frees an answer; only a complete one is a success. */
+/* Prints and frees an answer. Returns the exit status, which is a success only
+ * if the job is complete. */
 static int print_answer(const char *program, char *answer, int http_status)
 {
 	int status = PH_EXIT_FAILED;
 
 	if (!answer) {
-		fprintf(stderr, "%s: no answer\n", program);
+		fprintf(stderr, "%s: no answer from the entry instance\n",
+			program);
 		return PH_EXIT_FAILED;
 	}
 	printf("%s\n", answer);
@@ -67,10 +69,12 @@
 	return status;
 }
 
+/* Runs a subcommand that sends one request for the job ID; body tells whether
+ * the request carries the content of the operand FILE. */
 static int call_job(const char *program, const char *summary,
 		    const char *method, bool body, int argc, char **argv)
 {
-	struct one o = { 0 };
+	struct job_options o = { 0 };
 	struct ph_setting list[] = {
 		{ .flag = "entry",
 		  .type = PH_SETTING_TEXT,
@@ -171,7 +175,7 @@
 	text = ph_client_call(ph_mem_default(), "GET", url, NULL, NULL,
 			      &status);
 	if (!text) {
-		fprintf(stderr, "state: no answer\n");
+		fprintf(stderr, "state: no answer from %s\n", entry);
 		return PH_EXIT_FAILED;
 	}
 	printf("%s", text);
--- a/src/cli.h
+++ b/src/cli.h
@@ -13,10 +13,16 @@
 int ph_cli_config(int argc, char **argv);
 int ph_cli_state(int argc, char **argv);
 
-/** Splits "a,b,c" in place; returns the number of parts, at most max. */
+/**
+ * Splits a comma-separated list in place, without its empty parts. Returns the
+ * number of parts; what goes beyond max parts is ignored.
+ */
 size_t ph_cli_split(char *text, const char **parts, size_t max);
 
-/** Whole content of a file, "-" being standard input; NULL on failure. */
+/**
+ * Reads a whole file, or standard input if path is "-". Returns its content,
+ * to be freed, and sets *len; NULL if the file can't be opened.
+ */
 char *ph_cli_read_file(const char *path, size_t *len);
 
 #endif
--- a/src/cli_replay.c
+++ b/src/cli_replay.c
@@ -9,38 +9,49 @@
 #include "client.h"
 #include "settings.h"
 
-#define MAX_ENTRIES 32U
+#define MAX_URLS 32U
 #define US_PER_MS 1000U
 #define URL_BYTES 512
 
+/* Options of a replay and the jobs that it submits. */
 struct replay {
+	/** Values of --entries and --standins, split in place below. */
 	const char *entries_text;
-	const char *keys_path;
 	const char *counts_text;
+	const char *keys_path;
 	uint64_t slots;
-	uint64_t speed;
+	uint64_t speed_percent;
 	uint64_t caller_timeout_us;
 	uint64_t attempt_us;
 	uint64_t json;
 	uint64_t quiet;
+	/** Bearer keys by team. */
 	json_t *keys;
-	const char *entries[MAX_ENTRIES];
+	/** Base URLs of entry instances. */
+	const char *entries[MAX_URLS];
 	size_t entry_count;
-	const char *counts[MAX_ENTRIES];
-	size_t counts_count;
+	/** Base URLs of endpoint stand-ins, which count the starts of tasks. */
+	const char *standins[MAX_URLS];
+	size_t standin_count;
 	struct ph_client_job *jobs;
 	size_t job_count;
 };
 
-/* What the run is judged by. */
+/* Results of a replay. */
 struct tally {
+	/** Number of jobs by enum ph_client_outcome. */
 	size_t by_outcome[PH_CLIENT_INVALID_ANSWER + 1];
 	size_t tasks;
 	size_t attempts;
+	/** Messages and bytes during the replay, as add_messages standins them.
+	 */
 	uint64_t messages;
 	uint64_t peer_bytes;
-	uint64_t doubled;
+	/** Tasks that endpoints started more than once. */
+	uint64_t started_twice;
+	/** Starts of tasks at endpoints. */
 	uint64_t starts;
+	/** Quantiles of the response time over the ideal one. */
 	double p50;
 	double p99;
 	double p999;
@@ -65,6 +76,7 @@
 
 /* ## Reading the job file */
 
+/* Run time that a task's payload asks of a stand-in. */
 static double task_run_us(json_t *task)
 {
 	json_t *payload = json_object_get(task, "payload");
@@ -73,7 +85,8 @@
 	       US_PER_MS;
 }
 
-/* The longest task, or all work spread evenly over the slots. */
+/* Shortest possible response time of a job: the run time of its longest task,
+ * or of all its tasks spread evenly over the slots if that is longer. */
 static uint64_t ideal_us(json_t *tasks, uint64_t slots)
 {
 	double longest = 0;
@@ -93,6 +106,7 @@
 	return (uint64_t)longest;
 }
 
+/* Fills in a job from its line of the file; false if the line is malformed. */
 static bool read_job(struct replay *r, json_t *line, struct ph_client_job *job)
 {
 	const char *team;
@@ -110,7 +124,7 @@
 	ph_strcopy(job->team, sizeof(job->team), team);
 	ph_strcopy(job->service, sizeof(job->service), service);
 	ph_strcopy(job->id, sizeof(job->id), id);
-	job->at_us = (uint64_t)at_ms * US_PER_MS * 100 / r->speed;
+	job->at_us = (uint64_t)at_ms * US_PER_MS * 100 / r->speed_percent;
 	job->task_count = (uint32_t)json_array_size(tasks);
 	job->ideal_us = ideal_us(tasks, r->slots);
 	body = json_object();
@@ -124,7 +138,7 @@
 	return true;
 }
 
-static int by_time(const void *a, const void *b)
+static int compare_times(const void *a, const void *b)
 {
 	const struct ph_client_job *x = a;
 	const struct ph_client_job *y = b;
@@ -132,6 +146,7 @@
 	return (x->at_us > y->at_us) - (x->at_us < y->at_us);
 }
 
+/* Reads the jobs of a file and sorts them by time; returns an exit status. */
 static int read_jobs(struct replay *r, char *text)
 {
 	const struct ph_mem *mem = ph_mem_default();
@@ -151,7 +166,9 @@
 		}
 		memset(&r->jobs[r->job_count], 0, sizeof(*r->jobs));
 		if (!doc || !read_job(r, doc, &r->jobs[r->job_count])) {
-			fprintf(stderr, "replay: line %zu is not a job\n",
+			fprintf(stderr,
+				"replay: line %zu of the job file is not a "
+				"valid job\n",
 				line_no);
 			json_decref(doc);
 			return PH_EXIT_USAGE;
@@ -159,13 +176,14 @@
 		r->job_count++;
 		json_decref(doc);
 	}
-	qsort(r->jobs, r->job_count, sizeof(*r->jobs), by_time);
+	qsort(r->jobs, r->job_count, sizeof(*r->jobs), compare_times);
 	return PH_EXIT_OK;
 }
 
-/* ## Counters of the system */
+/* ## Counters of the instances and stand-ins */
 
-static json_t *fetch(const char *base, const char *path)
+/* Gets a JSON document by HTTP; NULL if there is none. */
+static json_t *fetch_json(const char *base, const char *path)
 {
 	char url[URL_BYTES];
 	int status;
@@ -181,28 +199,30 @@
 	return doc;
 }
 
-static uint64_t number(json_t *doc, const char *key)
+static uint64_t integer_of(json_t *doc, const char *key)
 {
 	return (uint64_t)json_integer_value(json_object_get(doc, key));
 }
 
-/* Messages so far: between instances, to endpoints and to the platform. */
+/* Adds the messages and bytes of all instances since their start: messages to
+ * each other, and two for each HTTP call to an endpoint or the platform, its
+ * request and its response. The bytes are those sent to other instances. */
 static void add_messages(const struct replay *r, uint64_t *messages,
 			 uint64_t *bytes)
 {
 	size_t i;
 
 	for (i = 0; i < r->entry_count; i++) {
-		json_t *doc = fetch(r->entries[i], "/v1/state");
+		json_t *doc = fetch_json(r->entries[i], "/v1/state");
 		json_t *process = json_object_get(doc, "process");
 		json_t *core = json_object_get(doc, "core");
 		json_t *c = json_object_get(core, "counters");
 
-		*messages += number(c, "messages_sent") +
-			     2 * number(process, "endpoint_calls") +
-			     2 * number(c, "platform_calls") +
-			     2 * number(process, "watch_calls");
-		*bytes += number(process, "peer_bytes_sent");
+		*messages += integer_of(c, "messages_sent") +
+			     2 * integer_of(process, "endpoint_calls") +
+			     2 * integer_of(c, "platform_calls") +
+			     2 * integer_of(process, "watch_calls");
+		*bytes += integer_of(process, "peer_bytes_sent");
 		json_decref(doc);
 	}
 }
@@ -211,18 +231,18 @@
 {
 	size_t i;
 
-	for (i = 0; i < r->counts_count; i++) {
-		json_t *doc = fetch(r->counts[i], "/standin/counts");
+	for (i = 0; i < r->standin_count; i++) {
+		json_t *doc = fetch_json(r->standins[i], "/standin/counts");
 
-		t->starts += number(doc, "starts");
-		t->doubled += number(doc, "doubled");
+		t->starts += integer_of(doc, "starts");
+		t->started_twice += integer_of(doc, "doubled");
 		json_decref(doc);
 	}
 }
 
 /* ## Report */
 
-static int by_value(const void *a, const void *b)
+static int compare_values(const void *a, const void *b)
 {
 	double x = *(const double *)a;
 	double y = *(const double *)b;
@@ -232,11 +252,11 @@
 
 static double quantile(const double *sorted, size_t count, double q)
 {
-	size_t at = (size_t)(q * (double)count);
+	size_t index = (size_t)(q * (double)count);
 
 	if (!count)
 		return 0;
-	return sorted[at < count ? at : count - 1];
+	return sorted[index < count ? index : count - 1];
 }
 
 static void tally_jobs(const struct replay *r, struct tally *t)
@@ -255,7 +275,7 @@
 			ratios[n++] = (double)job->response_us /
 				      (double)job->ideal_us;
 	}
-	qsort(ratios, n, sizeof(*ratios), by_value);
+	qsort(ratios, n, sizeof(*ratios), compare_values);
 	t->p50 = quantile(ratios, n, 0.5);
 	t->p99 = quantile(ratios, n, 0.99);
 	t->p999 = quantile(ratios, n, 0.999);
@@ -277,9 +297,11 @@
 	       r->job_count, t->tasks, t->attempts,
 	       t->by_outcome[PH_CLIENT_COMPLETE],
 	       t->by_outcome[PH_CLIENT_FAILED],
-	       t->by_outcome[PH_CLIENT_REJECTED], t->by_outcome[PH_CLIENT_NO_ANSWER],
-	       t->by_outcome[PH_CLIENT_INVALID_ANSWER], (unsigned long long)t->starts,
-	       (unsigned long long)t->doubled, t->p50, t->p99, t->p999,
+	       t->by_outcome[PH_CLIENT_REJECTED],
+	       t->by_outcome[PH_CLIENT_NO_ANSWER],
+	       t->by_outcome[PH_CLIENT_INVALID_ANSWER],
+	       (unsigned long long)t->starts,
+	       (unsigned long long)t->started_twice, t->p50, t->p99, t->p999,
 	       per_task(t->messages, t), per_task(t->peer_bytes, t));
 }
 
@@ -290,13 +312,14 @@
 	printf("complete             %zu\n", t->by_outcome[PH_CLIENT_COMPLETE]);
 	printf("failed               %zu\n", t->by_outcome[PH_CLIENT_FAILED]);
 	printf("rejected             %zu\n", t->by_outcome[PH_CLIENT_REJECTED]);
-	printf("lost                 %zu\n", t->by_outcome[PH_CLIENT_NO_ANSWER]);
-	printf("partial or foreign   %zu\n", t->by_outcome[PH_CLIENT_INVALID_ANSWER]);
-	if (r->counts_count)
-		printf("starts               %llu, of tasks started twice: "
-		       "%llu\n",
+	printf("lost                 %zu\n",
+	       t->by_outcome[PH_CLIENT_NO_ANSWER]);
+	printf("invalid answers      %zu\n",
+	       t->by_outcome[PH_CLIENT_INVALID_ANSWER]);
+	if (r->standin_count)
+		printf("starts               %llu; tasks started twice: %llu\n",
 		       (unsigned long long)t->starts,
-		       (unsigned long long)t->doubled);
+		       (unsigned long long)t->started_twice);
 	printf("response over ideal  p50 %.2f  p99 %.2f  p99.9 %.2f\n", t->p50,
 	       t->p99, t->p999);
 	printf("messages per task    %.2f, of which 2 are the task's own "
@@ -305,10 +328,13 @@
 	printf("peer bytes per task  %.0f\n", per_task(t->peer_bytes, t));
 }
 
-static int verdict(const struct tally *t)
+/* Jobs may fail, but each must get a valid answer, and no task may be started
+ * twice. */
+static int exit_status(const struct tally *t)
 {
-	if (t->by_outcome[PH_CLIENT_NO_ANSWER] || t->by_outcome[PH_CLIENT_INVALID_ANSWER] ||
-	    t->by_outcome[PH_CLIENT_REJECTED] || t->doubled)
+	if (t->by_outcome[PH_CLIENT_NO_ANSWER] ||
+	    t->by_outcome[PH_CLIENT_INVALID_ANSWER] ||
+	    t->by_outcome[PH_CLIENT_REJECTED] || t->started_twice)
 		return PH_EXIT_FAILED;
 	return PH_EXIT_OK;
 }
@@ -327,15 +353,17 @@
 		.mark_first_attempts = true,
 	};
 	struct tally t = { 0 };
-	uint64_t before = 0;
+	uint64_t messages_before = 0;
 	uint64_t bytes_before = 0;
 
-	add_messages(r, &before, &bytes_before);
+	add_messages(r, &messages_before, &bytes_before);
 	ph_client_run(&options, r->jobs, r->job_count);
 	if (!r->quiet && isatty(STDERR_FILENO))
 		fprintf(stderr, "\r%60s\r", "");
 	add_messages(r, &t.messages, &t.peer_bytes);
-	t.messages -= t.messages > before ? before : t.messages;
+	/* The counters are lower than before if an instance was restarted. */
+	t.messages -=
+		t.messages > messages_before ? messages_before : t.messages;
 	t.peer_bytes -=
 		t.peer_bytes > bytes_before ? bytes_before : t.peer_bytes;
 	add_starts(r, &t);
@@ -344,9 +372,10 @@
 		print_json(r, &t);
 	else
 		print_table(r, &t);
-	return verdict(&t);
+	return exit_status(&t);
 }
 
+/* Reads the options' files; returns an exit status. */
 static int prepare(struct replay *r, const char *path)
 {
 	size_t len;
@@ -357,18 +386,19 @@
 	r->keys = keys ? json_loads(keys, 0, NULL) : NULL;
 	free(keys);
 	if (!r->keys) {
-		fprintf(stderr, "replay: --keys is not a JSON file\n");
+		fprintf(stderr, "replay: --keys: %s is not a JSON file\n",
+			r->keys_path);
 		return PH_EXIT_USAGE;
 	}
-	if (!r->speed) {
-		fprintf(stderr, "replay: --speed-percent is 0\n");
+	if (!r->speed_percent) {
+		fprintf(stderr, "replay: --speed-percent must be above 0\n");
 		return PH_EXIT_USAGE;
 	}
 	r->entry_count =
-		ph_cli_split((char *)r->entries_text, r->entries, MAX_ENTRIES);
+		ph_cli_split((char *)r->entries_text, r->entries, MAX_URLS);
 	if (r->counts_text)
-		r->counts_count = ph_cli_split((char *)r->counts_text,
-					       r->counts, MAX_ENTRIES);
+		r->standin_count = ph_cli_split((char *)r->counts_text,
+						r->standins, MAX_URLS);
 	text = ph_cli_read_file(path, &len);
 	if (!text) {
 		fprintf(stderr, "replay: can't read %s\n", path);
@@ -385,7 +415,7 @@
 	struct ph_setting list[] = {
 		{ .flag = "entries",
 		  .type = PH_SETTING_TEXT,
-		  .help = "base URLs of entry instances, by comma",
+		  .help = "base URLs of entry instances, comma-separated",
 		  .text = &r.entries_text },
 		{ .flag = "keys",
 		  .type = PH_SETTING_TEXT,
@@ -394,27 +424,29 @@
 		{ .flag = "counts",
 		  .type = PH_SETTING_TEXT,
 		  .fallback = "",
-		  .help = "base URLs of endpoint stand-ins that count starts",
+		  .help = "base URLs of endpoint stand-ins, whose counts of "
+			  "starts are reported",
 		  .text = &r.counts_text },
 		{ .flag = "slots",
 		  .type = PH_SETTING_NUMBER,
 		  .fallback = "0",
-		  .help = "slots that the ideal response assumes",
+		  .help = "slots assumed for the ideal response time, 0: one "
+			  "for each task",
 		  .number = &r.slots },
 		{ .flag = "speed-percent",
 		  .type = PH_SETTING_NUMBER,
 		  .fallback = "100",
-		  .help = "speed of the file's clock",
-		  .number = &r.speed },
+		  .help = "speed of the replay, 200: in half the time",
+		  .number = &r.speed_percent },
 		{ .flag = "attempt-ms",
 		  .type = PH_SETTING_MS,
 		  .fallback = "10000",
-		  .help = "time for one attempt",
+		  .help = "time limit of one attempt",
 		  .number = &r.attempt_us },
 		{ .flag = "give-up-ms",
 		  .type = PH_SETTING_MS,
 		  .fallback = "60000",
-		  .help = "time for all attempts",
+		  .help = "time limit of all attempts of a job",
 		  .number = &r.caller_timeout_us },
 		{ .flag = "json",
 		  .type = PH_SETTING_FLAG,
