--- a/src/cli_replay.c
+++ b/src/cli_replay.c
@@ -15,10 +15,11 @@
 
 /* Options of a replay and the jobs that it submits. */
 struct replay {
-	/** Values of --entries and --standins, split in place below. */
+	/** Value of --entries; entries points into it. */
 	const char *entries_text;
-	const char *counts_text;
 	const char *keys_path;
+	/** Value of --counts; standins points into it. */
+	const char *counts_text;
 	uint64_t slots;
 	uint64_t speed_percent;
 	uint64_t caller_timeout_us;
@@ -43,7 +44,7 @@
 	size_t by_outcome[PH_CLIENT_INVALID_ANSWER + 1];
 	size_t tasks;
 	size_t attempts;
-	/** Messages and bytes during the replay, as add_messages standins them.
+	/** Messages and bytes during the replay, as add_messages counts them.
 	 */
 	uint64_t messages;
 	uint64_t peer_bytes;
@@ -328,8 +329,8 @@
 	printf("peer bytes per task  %.0f\n", per_task(t->peer_bytes, t));
 }
 
-/* Jobs may fail, but each must get a valid answer, and no task may be started
- * twice. */
+/* Jobs may fail, but each must be accepted and get a valid answer, and no task
+ * may be started twice. */
 static int exit_status(const struct tally *t)
 {
 	if (t->by_outcome[PH_CLIENT_NO_ANSWER] ||
@@ -361,7 +362,7 @@
 	if (!r->quiet && isatty(STDERR_FILENO))
 		fprintf(stderr, "\r%60s\r", "");
 	add_messages(r, &t.messages, &t.peer_bytes);
-	/* The counters are lower than before if an instance was restarted. */
+	/* Counters are lower than before if an instance was restarted. */
 	t.messages -=
 		t.messages > messages_before ? messages_before : t.messages;
 	t.peer_bytes -=
