--- a/src/cli_replay.c
+++ b/src/cli_replay.c
@@ -44,8 +44,7 @@
 	size_t by_outcome[PH_CLIENT_INVALID_ANSWER + 1];
 	size_t tasks;
 	size_t attempts;
-	/** Messages and bytes during the replay, as add_messages counts them.
-	 */
+	/** During the replay, as counted by add_messages. */
 	uint64_t messages;
 	uint64_t peer_bytes;
 	/** Tasks that endpoints started more than once. */
--- a/src/httpc.c
+++ b/src/httpc.c
@@ -48,8 +48,7 @@
 	uint64_t deadline_us;
 	/** The deadline had passed at the last check. */
 	bool overdue;
-	/** Response: its body and the parts of its headers that are reported.
-	 */
+	/** Body of the response, and what is reported of its headers. */
 	struct ph_buf response;
 	uint64_t index;
 	bool closing;
@@ -244,8 +243,7 @@
 	return len;
 }
 
-/* CURLOPT_READFUNCTION: hands the next part of the request's body to libcurl.
- */
+/* CURLOPT_READFUNCTION: gives libcurl the next part of the request's body. */
 static size_t on_read(char *data, size_t size, size_t count, void *user)
 {
 	struct transfer *t = user;
--- a/src/platform.h
+++ b/src/platform.h
@@ -5,7 +5,7 @@
  * Interface to the platform's services: a key-value store with compare-and-swap
  * and watches, and the list of a service's instances. All operations are
  * asynchronous. Each reports its outcome once, through its callback, on a
- * thread of the implementation; those that free ends are not reported.
+ * thread of the implementation; those dropped by free are not reported.
  */
 
 #include "endpoints.h"
