--- a/test/fault_matrix.cc
+++ b/test/fault_matrix.cc
@@ -180,7 +180,7 @@
 	sim::Result r = sim::run(o);
 
 	t->cases++;
-	t->unanswered += r.pending;
+	t->unanswered += r.unanswered;
 	if (r.violations.empty())
 		return;
 	/* A variant must fail where the whole set of rules does not. */
@@ -462,7 +462,7 @@
 	sim::Result r = sim::run(o);
 
 	printf("%lu steps, %lu answered, %lu pending\n", (unsigned long)r.steps,
-	       (unsigned long)r.answered, (unsigned long)r.pending);
+	       (unsigned long)r.answered, (unsigned long)r.unanswered);
 	for (const std::string &v : r.violations)
 		printf("VIOLATION %s\n", v.c_str());
 	return r.violations.empty() ? EXIT_SUCCESS : EXIT_FAILURE;
--- a/test/sim.cc
+++ b/test/sim.cc
@@ -12,26 +12,35 @@
 namespace
 {
 
+/* Times are in microseconds. */
 constexpr uint64_t kMs = 1000;
-constexpr uint64_t kNetUs = 1 * kMs;
-constexpr uint64_t kPlatformUs = 3 * kMs;
+constexpr uint64_t kNetworkLatencyUs = 1 * kMs;
+/* One way between an entry instance and the platform. */
+constexpr uint64_t kPlatformLatencyUs = 3 * kMs;
 constexpr uint64_t kTickUs = 20 * kMs;
-constexpr uint64_t kRunUs = 60 * kMs;
-constexpr uint64_t kTimeoutUs = 300 * kMs;
-constexpr uint64_t kSettleUs = 800 * kMs;
+constexpr uint64_t kTaskRunUs = 60 * kMs;
+/* Timeout of a call to the platform; a call to an endpoint has twice this. */
+constexpr uint64_t kCallTimeoutUs = 300 * kMs;
+/* Time at which the first job is submitted: the cluster has formed by then. */
+constexpr uint64_t kFirstSubmitUs = 800 * kMs;
+/* Duration of a cut or an outage, and time until a killed process restarts. */
 constexpr uint64_t kOutageUs = 2500 * kMs;
 constexpr uint64_t kFreezeUs = 1300 * kMs;
 constexpr uint64_t kFreezeLongUs = 2600 * kMs;
 constexpr uint64_t kDelayShortUs = 350 * kMs;
 constexpr uint64_t kDelayLongUs = 1500 * kMs;
+/* Interval at which a caller without a final answer submits its job again. */
 constexpr uint64_t kResubmitUs = 250 * kMs;
-constexpr uint64_t kHorizonUs = 5000 * kMs;
-constexpr uint64_t kRememberUs = 9000 * kMs;
-constexpr uint64_t kEndUs = 26000 * kMs;
+/* Time after which a caller submits its job no more. */
+constexpr uint64_t kResubmitForUs = 5000 * kMs;
+/* Retention period of ended jobs. */
+constexpr uint64_t kRetentionUs = 9000 * kMs;
+constexpr uint64_t kSimulationEndUs = 26000 * kMs;
 constexpr int kTasks = 3;
-constexpr int kPlatform = 100;
+/* Ids of the network's participants; entry instances count from 0. */
+constexpr int kPlatformId = 100;
 constexpr int kEndpointBase = 200;
-constexpr int kClientBase = 300;
+constexpr int kCallerBase = 300;
 
 const char kConfig[] =
 	"{\"version\":1,\"domains\":[\"a\",\"b\"],\"services\":[{\"name\":"
@@ -47,7 +56,8 @@
 
 struct World;
 
-struct Node {
+/* An entry instance: its core and the state of its process. */
+struct Entry {
 	World *world = nullptr;
 	int id = 0;
 	std::string name;
@@ -56,9 +66,11 @@
 	ph_core *core = nullptr;
 	bool alive = false;
 	bool frozen = false;
-	uint64_t life = 0;
+	/* Number of starts; outdates what was scheduled for earlier ones. */
+	uint64_t incarnation = 0;
+	/* Inputs that have arrived while the process is frozen. */
 	std::vector<std::function<void()>> backlog;
-	/* Local tokens of callers' requests. */
+	/* Callers with a request open here, by the request's token. */
 	std::map<uint64_t, int> callers;
 	uint64_t next_token = 1;
 };
@@ -71,57 +83,71 @@
 	bool leaving = false;
 	int running = 0;
 	int slots = 2;
-	uint64_t life = 1;
+	/* Incremented by a kill. */
+	uint64_t incarnation = 1;
 };
 
 struct Caller {
 	std::string team;
 	std::string id;
+	/* Entry instances to which its attempts go, in turn. */
 	std::vector<int> via;
+	/* Time of the first attempt. */
 	uint64_t begin_us = 0;
+	/* Time from the first attempt to the cancellation; 0: none. */
 	uint64_t cancel_us = 0;
 	uint32_t attempt = 0;
 	bool ended = false;
-	/* Tasks that some answer called not-run, or done. */
+	/* Tasks that some answer reported as not-run, or as done. */
 	std::set<int> not_run;
 	std::set<int> done;
 };
 
 struct Event {
 	uint64_t at;
-	uint64_t order;
-	std::function<void()> what;
+	/* Order of scheduling; decides between events at the same time. */
+	uint64_t sequence;
+	std::function<void()> action;
 	bool operator<(const Event &other) const
 	{
 		if (at != other.at)
 			return at > other.at;
-		return order > other.order;
+		return sequence > other.sequence;
 	}
 };
 
+/* The simulation: participants, network and queue of events. */
 struct World {
 	Options opt;
 	Result result;
 	uint64_t now = 1000000;
-	uint64_t order = 0;
+	uint64_t next_sequence = 0;
 	std::priority_queue<Event> events;
-	std::vector<std::unique_ptr<Node>> nodes;
+	std::vector<std::unique_ptr<Entry>> entries;
 	std::vector<Endpoint> endpoints;
 	std::vector<Caller> callers;
+	/* Modification index and document at the platform, by domain. */
 	std::map<std::string, std::pair<uint64_t, std::string>> rosters;
+	/* Last modification index that the platform gave out. */
 	uint64_t index = 0;
 	bool platform_down = false;
 	bool platform_slow = false;
+	/* Directed pairs of participants without a connection. */
 	std::set<std::pair<int, int>> cuts;
+	/* Number of starts of each task, by TEAM/ID/INDEX. */
 	std::map<std::string, int> starts;
 	ph_config *config = nullptr;
-	bool counting = false;
+	/* Set at the first submission; messages before it are no steps. */
+	bool counting_steps = false;
+	/* Number of the last message sent. */
 	uint64_t step = 0;
-	uint64_t last_heal_us = 0;
+	uint64_t last_fault_end_us = 0;
 
-	void at(uint64_t delay, std::function<void()> what)
+	/* Schedules an action; the delay is in microseconds. */
+	void at(uint64_t delay, std::function<void()> action)
 	{
-		events.push(Event{ now + delay, order++, std::move(what) });
+		events.push(Event{ now + delay, next_sequence++,
+				   std::move(action) });
 	}
 
 	bool is_cut(int x, int y) const
@@ -129,52 +155,63 @@
 		return cuts.count({ x, y }) != 0;
 	}
 
-	void violate(const std::string &what)
+	void add_violation(const std::string &text)
 	{
-		result.violations.push_back(what);
+		result.violations.push_back(text);
 	}
 
-	void log(const std::string &what) const
+	/* Prints a line of the trace. */
+	void log(const std::string &text) const
 	{
 		if (opt.trace)
 			printf("%8.3f  #%-4lu %s\n", (double)now / 1e6,
-			       (unsigned long)step, what.c_str());
+			       (unsigned long)step, text.c_str());
 	}
 
-	/* ## Nodes */
+	/* ## Entry instances */
 
-	/* Runs an input at a node: at once, or when it is thawed. */
-	void input(int id, uint64_t life, std::function<void()> what)
+	/* Delivers an input to an incarnation of an entry instance: at once,
+	 * or when the process is thawed. */
+	void deliver_input(int id, uint64_t incarnation,
+			   std::function<void()> action)
 	{
-		Node &n = *nodes[id];
+		Entry &n = *entries[id];
 
-		if (!n.alive || n.life != life)
+		if (!n.alive || n.incarnation != incarnation)
 			return;
 		if (n.frozen)
-			n.backlog.push_back(std::move(what));
+			n.backlog.push_back(std::move(action));
 		else
-			what();
+			action();
 	}
 
-	void start_node(int id);
-	void tick(int id, uint64_t life);
-	void kill_node(int id);
-	void freeze_node(int id, uint64_t for_us);
-	void stop_node(int id);
-	Node *by_addr(const std::string &addr);
+	void start_entry(int id);
+	void tick(int id, uint64_t incarnation);
+	void kill_entry(int id);
+	void freeze_entry(int id, uint64_t for_us);
+	void stop_entry(int id);
+	Entry *find_entry(const std::string &addr);
 
 	/* ## Network */
 
+	/* Injects the faults of the present step into a message. */
 	void strike(int from, int to, bool repeatable, bool *drop,
-		    uint64_t *delay, bool *twice);
+		    uint64_t *delay, bool *duplicate);
+	/*
+	 * Sends a message: one numbered step, unless the faults have not begun.
+	 * Only a repeatable one can be duplicated. The delay is in
+	 * microseconds.
+	 */
 	void transmit(int from, int to, const std::string &what, uint64_t delay,
 		      bool repeatable, std::function<void()> deliver);
+	/* Applies a fault to participants; from and to are the ends of the
+	 * message that is the step. */
 	void apply(Fault fault, int from, int to);
-	void cut_for(int x, int y, uint64_t for_us);
-	void publish(int id);
-	void publish_all();
+	void cut_both_ways(int x, int y, uint64_t for_us);
+	void publish_rosters(int id);
+	void publish_rosters_to_all();
 
-	/* ## Outside */
+	/* ## Platform, endpoints and callers */
 
 	void platform_read(int id);
 	void platform_write(int id, uint64_t index, std::string doc);
@@ -186,18 +223,18 @@
 	void run();
 };
 
-std::string name_of(int id)
+std::string participant_name(int id)
 {
-	if (id == kPlatform)
+	if (id == kPlatformId)
 		return "platform";
-	if (id >= kClientBase)
-		return "caller" + std::to_string(id - kClientBase);
+	if (id >= kCallerBase)
+		return "caller" + std::to_string(id - kCallerBase);
 	if (id >= kEndpointBase)
 		return "endpoint" + std::to_string(id - kEndpointBase);
-	return "node" + std::to_string(id);
+	return "entry" + std::to_string(id);
 }
 
-/* ## The core's sink */
+/* ## Outputs of an entry instance's core */
 
 void sink_send(void *ctx, const char *addr, const ph_msg *msg)
 {
@@ -205,9 +242,9 @@
 		"?",	   "ping", "pong",   "request",	    "reply",
 		"records", "ack",  "roster", "handed-over", "config",
 	};
-	Node *n = static_cast<Node *>(ctx);
+	Entry *n = static_cast<Entry *>(ctx);
 	World *w = n->world;
-	Node *to = w->by_addr(addr);
+	Entry *to = w->find_entry(addr);
 	struct ph_buf frame;
 
 	if (!to)
@@ -231,40 +268,43 @@
 	}
 	int to_id = to->id;
 	int from_id = n->id;
-	uint64_t from_life = n->life;
+	uint64_t from_incarnation = n->incarnation;
 	std::string dest = addr;
-	w->transmit(n->id, to_id, what, kNetUs, true,
-		    [w, to_id, from_id, from_life, bytes, dest]() {
-			    Node &to_node = *w->nodes[to_id];
-
-			    if (!to_node.alive) {
-				    w->input(from_id, from_life, [=]() {
-					    ph_core_connection_refused(
-						    w->nodes[from_id]->core,
-						    w->now, dest.c_str());
-				    });
-				    return;
-			    }
-			    w->input(to_id, to_node.life, [=]() {
-				    ph_decoded_msg *box = nullptr;
-
-				    if (ph_msg_decode(ph_mem_default(),
-						      bytes.data(),
-						      bytes.size(), &box)) {
-					    w->violate("undecodable message");
-					    return;
-				    }
-				    ph_core_message(w->nodes[to_id]->core,
-						    w->now,
-						    ph_decoded_msg_get(box));
-				    ph_decoded_msg_free(box);
-			    });
-		    });
+	w->transmit(
+		n->id, to_id, what, kNetworkLatencyUs, true,
+		[w, to_id, from_id, from_incarnation, bytes, dest]() {
+			Entry &to_entry = *w->entries[to_id];
+
+			if (!to_entry.alive) {
+				w->deliver_input(
+					from_id, from_incarnation, [=]() {
+						ph_core_connection_refused(
+							w->entries[from_id]
+								->core,
+							w->now, dest.c_str());
+					});
+				return;
+			}
+			w->deliver_input(to_id, to_entry.incarnation, [=]() {
+				ph_decoded_msg *box = nullptr;
+
+				if (ph_msg_decode(ph_mem_default(),
+						  bytes.data(), bytes.size(),
+						  &box)) {
+					w->add_violation(
+						"a message can't be decoded");
+					return;
+				}
+				ph_core_message(w->entries[to_id]->core, w->now,
+						ph_decoded_msg_get(box));
+				ph_decoded_msg_free(box);
+			});
+		});
 }
 
 void sink_start(void *ctx, const ph_start *start)
 {
-	Node *n = static_cast<Node *>(ctx);
+	Entry *n = static_cast<Entry *>(ctx);
 
 	n->world->endpoint_call(n->id, start);
 }
@@ -272,31 +312,31 @@
 void sink_reply(void *ctx, uint64_t token, int status, const char *doc,
 		size_t len)
 {
-	Node *n = static_cast<Node *>(ctx);
+	Entry *n = static_cast<Entry *>(ctx);
 	World *w = n->world;
 	std::string text(doc, len);
 	auto it = n->callers.find(token);
 
 	if (it == n->callers.end()) {
-		w->violate("a request was answered twice");
+		w->add_violation("a request was answered twice");
 		return;
 	}
 	int caller = it->second;
 	n->callers.erase(it);
-	w->transmit(n->id, kClientBase + caller, "answer", kNetUs, false,
-		    [=]() { w->answer(caller, status, text); });
+	w->transmit(n->id, kCallerBase + caller, "answer", kNetworkLatencyUs,
+		    false, [=]() { w->answer(caller, status, text); });
 }
 
 void sink_roster_read(void *ctx)
 {
-	Node *n = static_cast<Node *>(ctx);
+	Entry *n = static_cast<Entry *>(ctx);
 
 	n->world->platform_read(n->id);
 }
 
 void sink_roster_write(void *ctx, uint64_t index, const char *doc, size_t len)
 {
-	Node *n = static_cast<Node *>(ctx);
+	Entry *n = static_cast<Entry *>(ctx);
 
 	n->world->platform_write(n->id, index, std::string(doc, len));
 }
@@ -305,19 +345,19 @@
 	sink_send, sink_start, sink_reply, sink_roster_read, sink_roster_write,
 };
 
-/* ## Nodes */
+/* ## Entry instances */
 
-Node *World::by_addr(const std::string &addr)
+Entry *World::find_entry(const std::string &addr)
 {
-	for (auto &n : nodes)
+	for (auto &n : entries)
 		if (n->addr == addr)
 			return n.get();
 	return nullptr;
 }
 
-void World::start_node(int id)
+void World::start_entry(int id)
 {
-	Node &n = *nodes[id];
+	Entry &n = *entries[id];
 	ph_core_options o = {};
 	std::vector<ph_endpoint_info> listed;
 
@@ -325,12 +365,12 @@
 	o.name = n.name.c_str();
 	o.domain = n.domain.c_str();
 	o.addr = n.addr.c_str();
-	n.life++;
-	o.incarnation = (uint64_t)(id + 1) * 1000000 + n.life * 1000;
+	n.incarnation++;
+	o.incarnation = (uint64_t)(id + 1) * 1000000 + n.incarnation * 1000;
 	o.ping_every_us = 100 * kMs;
 	o.suspect_after_us = 400 * kMs;
 	o.solo_after_us = 800 * kMs;
-	o.remember_us = kRememberUs;
+	o.remember_us = kRetentionUs;
 	o.hold_us = 900 * kMs;
 	o.answer_bytes_max = opt.answer_bytes_max;
 	o.queue_policy = &ph_queue_fair;
@@ -342,7 +382,7 @@
 	n.backlog.clear();
 	n.callers.clear();
 	n.core = ph_core_new(&o, now);
-	for (auto &other : nodes)
+	for (auto &other : entries)
 		if (other->id != id && other->domain == n.domain)
 			ph_core_add_seed(n.core, other->addr.c_str());
 	ph_core_set_config(n.core, now, config);
@@ -357,29 +397,29 @@
 		listed.push_back(l);
 	}
 	ph_core_set_endpoints(n.core, now, "s", listed.data(), listed.size());
-	publish(id);
-	tick(id, n.life);
+	publish_rosters(id);
+	tick(id, n.incarnation);
 }
 
-void World::tick(int id, uint64_t life)
+void World::tick(int id, uint64_t incarnation)
 {
-	Node &n = *nodes[id];
+	Entry &n = *entries[id];
 
-	if (!n.alive || n.life != life)
+	if (!n.alive || n.incarnation != incarnation)
 		return;
 	if (!n.frozen) {
 		ph_core_tick(n.core, now);
 		if (ph_core_stopped(n.core) && n.callers.empty()) {
-			kill_node(id);
+			kill_entry(id);
 			return;
 		}
 	}
-	at(kTickUs, [=]() { tick(id, life); });
+	at(kTickUs, [=]() { tick(id, incarnation); });
 }
 
-void World::kill_node(int id)
+void World::kill_entry(int id)
 {
-	Node &n = *nodes[id];
+	Entry &n = *entries[id];
 
 	if (!n.alive)
 		return;
@@ -387,34 +427,35 @@
 	n.alive = false;
 	n.backlog.clear();
 	for (auto &c : n.callers)
-		log("caller " + std::to_string(c.second) + " is cut off");
+		log("caller " + std::to_string(c.second) + " was disconnected");
 	n.callers.clear();
 	ph_core_free(n.core);
 	n.core = nullptr;
-	last_heal_us = now + kOutageUs;
-	at(kOutageUs, [=]() { start_node(id); });
+	last_fault_end_us = now + kOutageUs;
+	at(kOutageUs, [=]() { start_entry(id); });
 }
 
-void World::freeze_node(int id, uint64_t for_us)
+void World::freeze_entry(int id, uint64_t for_us)
 {
-	Node &n = *nodes[id];
-	uint64_t life = n.life;
+	Entry &n = *entries[id];
+	uint64_t incarnation = n.incarnation;
 
 	if (!n.alive || n.frozen)
 		return;
 	log("freeze " + n.name);
 	n.frozen = true;
-	last_heal_us = now + for_us;
+	last_fault_end_us = now + for_us;
 	at(for_us, [=]() {
-		Node &m = *nodes[id];
+		Entry &m = *entries[id];
 
-		if (!m.alive || m.life != life)
+		if (!m.alive || m.incarnation != incarnation)
 			return;
 		log("thaw " + m.name);
 		m.frozen = false;
 		auto backlog = std::move(m.backlog);
 		m.backlog.clear();
-		/* Timers may run before what has piled up is read. */
+		/* In a real process too, timers may run before the messages
+		 * that have piled up are read. */
 		ph_core_tick(m.core, now);
 		for (auto &f : backlog)
 			if (m.alive)
@@ -422,34 +463,35 @@
 	});
 }
 
-void World::stop_node(int id)
+void World::stop_entry(int id)
 {
-	Node &n = *nodes[id];
+	Entry &n = *entries[id];
 
 	if (!n.alive)
 		return;
 	log("stop " + n.name);
-	uint64_t life = n.life;
-	input(id, life, [=]() { ph_core_stop(nodes[id]->core, now); });
+	uint64_t incarnation = n.incarnation;
+	deliver_input(id, incarnation,
+		      [=]() { ph_core_stop(entries[id]->core, now); });
 }
 
 /* ## Network */
 
-void World::cut_for(int x, int y, uint64_t for_us)
+void World::cut_both_ways(int x, int y, uint64_t for_us)
 {
 	cuts.insert({ x, y });
 	cuts.insert({ y, x });
-	last_heal_us = now + for_us;
+	last_fault_end_us = now + for_us;
 	at(for_us, [=]() {
 		cuts.erase({ x, y });
 		cuts.erase({ y, x });
-		publish_all();
+		publish_rosters_to_all();
 	});
 }
 
 void World::apply(Fault fault, int from, int to)
 {
-	int count = (int)nodes.size();
+	int count = (int)entries.size();
 	int home = opt.home_entries;
 
 	log(std::string("FAULT ") + fault_name(fault));
@@ -469,21 +511,21 @@
 		if (id >= count)
 			return;
 		if (kill)
-			at(0, [=]() { kill_node(id); });
+			at(0, [=]() { kill_entry(id); });
 		else
-			freeze_node(id, fault == Fault::kFreezeLong
-						? kFreezeLongUs
-						: kFreezeUs);
+			freeze_entry(id, fault == Fault::kFreezeLong
+						 ? kFreezeLongUs
+						 : kFreezeUs);
 		break;
 	}
 	case Fault::kCutPair:
-		cut_for(0, 1, kOutageUs);
+		cut_both_ways(0, 1, kOutageUs);
 		break;
 	case Fault::kCutDomain:
 		for (int i = 0; i < home; i++) {
 			for (int j = home; j < count; j++)
-				cut_for(i, j, kOutageUs);
-			cut_for(i, kPlatform, kOutageUs);
+				cut_both_ways(i, j, kOutageUs);
+			cut_both_ways(i, kPlatformId, kOutageUs);
 		}
 		break;
 	case Fault::kIsolateFirst:
@@ -492,26 +534,26 @@
 
 		for (int j = 0; j < count; j++)
 			if (j != id)
-				cut_for(id, j, kOutageUs);
-		cut_for(id, kPlatform, kOutageUs);
+				cut_both_ways(id, j, kOutageUs);
+		cut_both_ways(id, kPlatformId, kOutageUs);
 		break;
 	}
 	case Fault::kPlatformDown:
 		platform_down = true;
-		last_heal_us = now + kOutageUs;
+		last_fault_end_us = now + kOutageUs;
 		at(kOutageUs, [=]() {
 			platform_down = false;
-			publish_all();
+			publish_rosters_to_all();
 		});
 		break;
 	case Fault::kPlatformSlow:
 		platform_slow = true;
-		last_heal_us = now + kOutageUs;
+		last_fault_end_us = now + kOutageUs;
 		at(kOutageUs, [=]() { platform_slow = false; });
 		break;
 	case Fault::kEndpointKill:
 		endpoints[0].alive = false;
-		endpoints[0].life++;
+		endpoints[0].incarnation++;
 		endpoints[0].running = 0;
 		at(kOutageUs, [=]() { endpoints[0].alive = true; });
 		break;
@@ -519,10 +561,10 @@
 		endpoints[0].leaving = true;
 		break;
 	case Fault::kStopFirst:
-		at(0, [=]() { stop_node(0); });
+		at(0, [=]() { stop_entry(0); });
 		break;
 	case Fault::kStopSecond:
-		at(0, [=]() { stop_node(1); });
+		at(0, [=]() { stop_entry(1); });
 		break;
 	default:
 		break;
@@ -530,7 +572,7 @@
 }
 
 void World::strike(int from, int to, bool repeatable, bool *drop,
-		   uint64_t *delay, bool *twice)
+		   uint64_t *delay, bool *duplicate)
 {
 	for (const Strike &s : opt.strikes) {
 		if (s.step != step)
@@ -542,11 +584,11 @@
 		else if (s.fault == Fault::kDelayLong)
 			*delay += kDelayLongUs;
 		else if (s.fault == Fault::kDuplicate)
-			*twice = repeatable;
+			*duplicate = repeatable;
 		else
 			apply(s.fault, from, to);
 		log(std::string("strike ") + fault_name(s.fault) + " on " +
-		    name_of(from) + " to " + name_of(to));
+		    participant_name(from) + " to " + participant_name(to));
 	}
 }
 
@@ -554,15 +596,15 @@
 		     bool repeatable, std::function<void()> deliver)
 {
 	bool drop = false;
-	bool twice = false;
+	bool duplicate = false;
 
-	if (counting) {
+	if (counting_steps) {
 		step++;
-		strike(from, to, repeatable, &drop, &delay, &twice);
+		strike(from, to, repeatable, &drop, &delay, &duplicate);
 	}
 	if (opt.trace && what != "ping" && what != "pong")
-		log(name_of(from) + " -> " + name_of(to) + " " + what +
-		    (drop ? " DROPPED" : "") +
+		log(participant_name(from) + " -> " + participant_name(to) +
+		    " " + what + (drop ? " DROPPED" : "") +
 		    (is_cut(from, to) ? " CUT" : ""));
 	if (drop || is_cut(from, to))
 		return;
@@ -570,58 +612,61 @@
 		if (!is_cut(from, to))
 			deliver();
 	});
-	if (twice)
+	if (duplicate)
 		at(delay + kDelayShortUs, deliver);
 }
 
 /* ## Platform */
 
-/* What a watch would bring: all rosters as they are now. */
-void World::publish(int id)
+/* Sends all present rosters to an entry instance, as a watch on the platform
+ * does. */
+void World::publish_rosters(int id)
 {
-	Node &n = *nodes[id];
+	Entry &n = *entries[id];
 
-	if (!n.alive || platform_down || is_cut(id, kPlatform))
+	if (!n.alive || platform_down || is_cut(id, kPlatformId))
 		return;
 	for (auto &r : rosters) {
 		uint64_t idx = r.second.first;
 		std::string doc = r.second.second;
 
-		transmit(kPlatform, id, "news", kPlatformUs, true, [=]() {
-			Node &m = *nodes[id];
+		transmit(kPlatformId, id, "roster", kPlatformLatencyUs, true,
+			 [=]() {
+				 Entry &m = *entries[id];
 
-			input(id, m.life, [=]() {
-				ph_core_roster_seen(nodes[id]->core, now, idx,
-						    doc.data(), doc.size());
-			});
-		});
+				 deliver_input(id, m.incarnation, [=]() {
+					 ph_core_roster_seen(
+						 entries[id]->core, now, idx,
+						 doc.data(), doc.size());
+				 });
+			 });
 	}
 }
 
-void World::publish_all()
+void World::publish_rosters_to_all()
 {
-	for (size_t i = 0; i < nodes.size(); i++)
-		publish((int)i);
+	for (size_t i = 0; i < entries.size(); i++)
+		publish_rosters((int)i);
 }
 
 void World::platform_read(int id)
 {
-	uint64_t life = nodes[id]->life;
-	std::string domain = nodes[id]->domain;
-	auto answered = std::make_shared<bool>(false);
+	uint64_t incarnation = entries[id]->incarnation;
+	std::string domain = entries[id]->domain;
+	auto replied = std::make_shared<bool>(false);
 	auto reply = [=](int err, uint64_t idx, const std::string &doc) {
-		input(id, life, [=]() {
-			if (*answered)
+		deliver_input(id, incarnation, [=]() {
+			if (*replied)
 				return;
-			*answered = true;
-			ph_core_roster_read(nodes[id]->core, now, err, idx,
+			*replied = true;
+			ph_core_roster_read(entries[id]->core, now, err, idx,
 					    doc.empty() ? nullptr : doc.data(),
 					    doc.size());
 		});
 	};
 
-	at(kTimeoutUs, [=]() { reply(PH_ERR_TIMEOUT, 0, ""); });
-	transmit(id, kPlatform, "read", kPlatformUs, false, [=]() {
+	at(kCallTimeoutUs, [=]() { reply(PH_ERR_TIMEOUT, 0, ""); });
+	transmit(id, kPlatformId, "read", kPlatformLatencyUs, false, [=]() {
 		if (platform_down)
 			return;
 		auto it = rosters.find(domain);
@@ -629,28 +674,28 @@
 		std::string doc = it == rosters.end() ? "" : it->second.second;
 		uint64_t slow = platform_slow ? 1000 * kMs : 0;
 
-		transmit(kPlatform, id, "value", kPlatformUs + slow, false,
-			 [=]() { reply(0, idx, doc); });
+		transmit(kPlatformId, id, "value", kPlatformLatencyUs + slow,
+			 false, [=]() { reply(0, idx, doc); });
 	});
 }
 
 void World::platform_write(int id, uint64_t expected, std::string doc)
 {
-	uint64_t life = nodes[id]->life;
-	std::string domain = nodes[id]->domain;
-	auto answered = std::make_shared<bool>(false);
+	uint64_t incarnation = entries[id]->incarnation;
+	std::string domain = entries[id]->domain;
+	auto replied = std::make_shared<bool>(false);
 	auto reply = [=](int err) {
-		input(id, life, [=]() {
-			if (*answered)
+		deliver_input(id, incarnation, [=]() {
+			if (*replied)
 				return;
-			*answered = true;
-			ph_core_roster_written(nodes[id]->core, now, err);
+			*replied = true;
+			ph_core_roster_written(entries[id]->core, now, err);
 		});
 	};
 
-	log(name_of(id) + " writes " + doc);
-	at(kTimeoutUs, [=]() { reply(PH_ERR_TIMEOUT); });
-	transmit(id, kPlatform, "write", kPlatformUs, false, [=]() {
+	log(participant_name(id) + " writes " + doc);
+	at(kCallTimeoutUs, [=]() { reply(PH_ERR_TIMEOUT); });
+	transmit(id, kPlatformId, "write", kPlatformLatencyUs, false, [=]() {
 		if (platform_down)
 			return;
 		auto it = rosters.find(domain);
@@ -660,10 +705,10 @@
 
 		if (!err) {
 			rosters[domain] = { ++index, doc };
-			publish_all();
+			publish_rosters_to_all();
 		}
-		transmit(kPlatform, id, "written", kPlatformUs + slow, false,
-			 [=]() { reply(err); });
+		transmit(kPlatformId, id, "written", kPlatformLatencyUs + slow,
+			 false, [=]() { reply(err); });
 	});
 }
 
@@ -671,52 +716,52 @@
 
 void World::endpoint_call(int id, const ph_start *start)
 {
-	uint64_t life = nodes[id]->life;
+	uint64_t incarnation = entries[id]->incarnation;
 	uint64_t start_id = start->start_id;
 	std::string addr = start->addr;
 	std::string task =
 		std::string(start->key) + "/" + std::to_string(start->index);
-	auto answered = std::make_shared<bool>(false);
+	auto replied = std::make_shared<bool>(false);
 	auto reply = [=](ph_outcome outcome) {
-		input(id, life, [=]() {
-			if (*answered)
+		deliver_input(id, incarnation, [=]() {
+			if (*replied)
 				return;
-			*answered = true;
-			ph_core_task_done(nodes[id]->core, now, start_id,
+			*replied = true;
+			ph_core_task_done(entries[id]->core, now, start_id,
 					  outcome, 200, "1", 1);
 		});
 	};
-	size_t at_endpoint = 0;
+	size_t endpoint_index = 0;
 
-	while (endpoints[at_endpoint].addr != addr)
-		at_endpoint++;
-	int ep = kEndpointBase + (int)at_endpoint;
-	at(2 * kTimeoutUs, [=]() { reply(PH_OUTCOME_AMBIGUOUS); });
-	transmit(id, ep, "run " + task, kNetUs, false, [=]() {
-		Endpoint &e = endpoints[at_endpoint];
-		uint64_t e_life = e.life;
+	while (endpoints[endpoint_index].addr != addr)
+		endpoint_index++;
+	int ep = kEndpointBase + (int)endpoint_index;
+	at(2 * kCallTimeoutUs, [=]() { reply(PH_OUTCOME_AMBIGUOUS); });
+	transmit(id, ep, "run " + task, kNetworkLatencyUs, false, [=]() {
+		Endpoint &e = endpoints[endpoint_index];
+		uint64_t call_incarnation = e.incarnation;
 
 		if (!e.alive || e.running >= e.slots || e.leaving) {
 			ph_outcome refused = e.leaving ? PH_OUTCOME_LEAVING
 						       : PH_OUTCOME_NOT_STARTED;
 
-			transmit(ep, id, "refused", kNetUs, false,
+			transmit(ep, id, "refused", kNetworkLatencyUs, false,
 				 [=]() { reply(refused); });
 			return;
 		}
 		e.running++;
 		log("START " + task);
 		if (++starts[task] > 1)
-			violate("task " + task + " started twice");
-		at(kRunUs, [=]() {
-			Endpoint &f = endpoints[at_endpoint];
+			add_violation("task " + task + " started twice");
+		at(kTaskRunUs, [=]() {
+			Endpoint &f = endpoints[endpoint_index];
 
-			if (f.life != e_life) {
+			if (f.incarnation != call_incarnation) {
 				reply(PH_OUTCOME_AMBIGUOUS);
 				return;
 			}
 			f.running--;
-			transmit(ep, id, "result", kNetUs, false,
+			transmit(ep, id, "result", kNetworkLatencyUs, false,
 				 [=]() { reply(PH_OUTCOME_DONE); });
 		});
 	});
@@ -728,20 +773,20 @@
 {
 	Caller &c = callers[caller];
 
-	if (c.ended || now > c.begin_us + kHorizonUs)
+	if (c.ended || now > c.begin_us + kResubmitForUs)
 		return;
 	c.attempt++;
 	uint32_t attempt = c.attempt;
 	int id = c.via[(attempt - 1) % c.via.size()];
-	transmit(kClientBase + caller, id,
-		 "submit attempt " + std::to_string(attempt), kNetUs, false,
-		 [=]() {
-			 Node &n = *nodes[id];
+	transmit(kCallerBase + caller, id,
+		 "submit attempt " + std::to_string(attempt), kNetworkLatencyUs,
+		 false, [=]() {
+			 Entry &n = *entries[id];
 
 			 if (!n.alive)
 				 return;
-			 input(id, n.life, [=]() {
-				 Node &m = *nodes[id];
+			 deliver_input(id, n.incarnation, [=]() {
+				 Entry &m = *entries[id];
 				 Caller &d = callers[caller];
 				 uint64_t token = m.next_token++;
 				 ph_request q = {};
@@ -765,24 +810,25 @@
 	Caller &c = callers[caller];
 	int id = c.via[c.via.size() - 1];
 
-	transmit(kClientBase + caller, id, "cancel", kNetUs, false, [=]() {
-		Node &n = *nodes[id];
+	transmit(kCallerBase + caller, id, "cancel", kNetworkLatencyUs, false,
+		 [=]() {
+			 Entry &n = *entries[id];
 
-		if (!n.alive)
-			return;
-		input(id, n.life, [=]() {
-			Node &m = *nodes[id];
-			uint64_t token = m.next_token++;
-			ph_request q = {};
-
-			m.callers[token] = caller;
-			q.type = PH_REQUEST_CANCEL;
-			q.team = callers[caller].team.c_str();
-			q.service = "s";
-			q.id = callers[caller].id.c_str();
-			ph_core_request(m.core, now, token, &q);
-		});
-	});
+			 if (!n.alive)
+				 return;
+			 deliver_input(id, n.incarnation, [=]() {
+				 Entry &m = *entries[id];
+				 uint64_t token = m.next_token++;
+				 ph_request q = {};
+
+				 m.callers[token] = caller;
+				 q.type = PH_REQUEST_CANCEL;
+				 q.team = callers[caller].team.c_str();
+				 q.service = "s";
+				 q.id = callers[caller].id.c_str();
+				 ph_core_request(m.core, now, token, &q);
+			 });
+		 });
 }
 
 void World::answer(int caller, int status, const std::string &doc)
@@ -797,13 +843,13 @@
 	    std::to_string(status) + " " + doc);
 	if (status == 503)
 		return;
-	/* The job has ended, and its answer was dropped for want of memory. */
+	/* The job has ended; the limit on retained answers evicted its own. */
 	if (status == 410 && opt.answer_bytes_max) {
 		c.ended = true;
 		return;
 	}
 	if (status != 200) {
-		violate("status " + std::to_string(status));
+		add_violation("caller got status " + std::to_string(status));
 		return;
 	}
 	json = json_loadb(doc.data(), doc.size(), 0, nullptr);
@@ -816,9 +862,10 @@
 	size_t done = 0;
 
 	if (!id || c.id != id)
-		violate("answer of another request");
+		add_violation("answer carries the id of another job");
 	if (count != kTasks && !(cancelled && count == 0))
-		violate("answer is not whole");
+		add_violation("answer has " + std::to_string(count) +
+			      " tasks instead of " + std::to_string(kTasks));
 	if (count == 0)
 		for (int t = 0; t < kTasks; t++)
 			c.not_run.insert(t);
@@ -832,11 +879,13 @@
 		} else if (cls == "not-run") {
 			c.not_run.insert((int)i);
 		} else if (cls != "may-have-run") {
-			violate("answer with a task that is " + cls);
+			add_violation("answer has a task of class " + cls);
 		}
 	}
 	if (complete != (done == kTasks && count == kTasks))
-		violate("answer is partial");
+		add_violation("answer's state is not complete exactly if all "
+			      "of its tasks "
+			      "are done");
 	json_decref(json);
 	c.ended = true;
 }
@@ -848,18 +897,21 @@
 
 		for (int t : c.not_run)
 			if (starts[key + std::to_string(t)])
-				violate("task " + key + std::to_string(t) +
-					" was called not-run but started");
+				add_violation(
+					"task " + key + std::to_string(t) +
+					" was reported as not-run but started");
 		for (int t : c.done)
 			if (!starts[key + std::to_string(t)])
-				violate("task " + key + std::to_string(t) +
-					" was called done but never started");
+				add_violation("task " + key +
+					      std::to_string(t) +
+					      " was reported as done but never "
+					      "started");
 		if (c.ended)
 			result.answered++;
 		else
-			result.pending++;
+			result.unanswered++;
 	}
-	for (auto &n : nodes) {
+	for (auto &n : entries) {
 		if (!n->alive)
 			continue;
 		struct ph_buf dump;
@@ -869,11 +921,11 @@
 		json_t *ledger = json_object_get(doc, "ledger");
 
 		if (json_integer_value(json_object_get(ledger, "live")))
-			violate("a job never ended at " + n->name);
+			add_violation("a job has not ended at " + n->name);
 		if (opt.trace)
 			printf("%s\n", dump.data);
 		if (json_integer_value(json_object_get(doc, "running")))
-			violate("a task still runs at " + n->name);
+			add_violation("a task is still running at " + n->name);
 		json_decref(doc);
 		ph_buf_free(&dump);
 	}
@@ -885,18 +937,18 @@
 
 	if (ph_config_parse(ph_mem_default(), kConfig, sizeof(kConfig) - 1,
 			    &config, nullptr, nullptr)) {
-		violate("configuration is invalid");
+		add_violation("configuration is invalid");
 		return;
 	}
 	for (int i = 0; i < home + 1; i++) {
-		auto n = std::make_unique<Node>();
+		auto n = std::make_unique<Entry>();
 
 		n->world = this;
 		n->id = i;
 		n->domain = i < home ? "a" : "b";
 		n->name = "n" + std::to_string(i);
 		n->addr = "10.0.0." + std::to_string(i) + ":1";
-		nodes.push_back(std::move(n));
+		entries.push_back(std::move(n));
 	}
 	for (int i = 0; i < 3; i++) {
 		Endpoint e;
@@ -906,7 +958,8 @@
 		e.addr = "10.0.1." + std::to_string(i) + ":1";
 		endpoints.push_back(e);
 	}
-	/* Jobs at home in domain a: relayed from b, and from each of a. */
+	/* All jobs have the home domain a; the first attempts arrive at the
+	 * entry instance of b, which relays them, and at each one of a. */
 	callers.push_back(
 		{ "t1", "a~j1", { home, 0, 1 }, 0, 0, 0, false, {}, {} });
 	callers.push_back(
@@ -915,12 +968,12 @@
 	callers.push_back({ "t2", "a~j4", { 1, 0 }, 0, 0, 0, false, {}, {} });
 	callers.push_back({ "t2", "a~j5", { 0, 1 }, 0, 0, 0, false, {}, {} });
 	callers[2].cancel_us = 45 * kMs;
-	for (size_t i = 0; i < nodes.size(); i++) {
-		at(i * 60 * kMs, [=]() { start_node((int)i); });
+	for (size_t i = 0; i < entries.size(); i++) {
+		at(i * 60 * kMs, [=]() { start_entry((int)i); });
 	}
 	for (size_t i = 0; i < callers.size(); i++) {
-		at(kSettleUs + i * 7 * kMs, [=]() {
-			counting = true;
+		at(kFirstSubmitUs + i * 7 * kMs, [=]() {
+			counting_steps = true;
 			callers[i].begin_us = now;
 			submit((int)i);
 			if (callers[i].cancel_us)
@@ -933,13 +986,13 @@
 
 		events.pop();
 		now = e.at;
-		if (now > kEndUs)
+		if (now > kSimulationEndUs)
 			break;
-		e.what();
+		e.action();
 	}
 	result.steps = step;
 	check_end();
-	for (auto &n : nodes)
+	for (auto &n : entries)
 		ph_core_free(n->core);
 	ph_config_free(config);
 }
