--- a/test/fault_matrix.cc
+++ b/test/fault_matrix.cc
@@ -1,7 +1,8 @@
 /*
- * The fault matrix: every fault at every step of a few jobs' lives, singly
- * and in pairs, and for each rule of the ledger a variant without it that
- * has to fail.
+ * The fault matrix: simulates a few jobs with each fault at each step (or at
+ * every seventh one), with random pairs and triples of faults, and checks that
+ * no case violates a promise. Variants that omit one rule of the entry core
+ * must violate one in a known case, which shows that the rule is needed.
  */
 
 #include <atomic>
@@ -22,18 +23,19 @@
 namespace
 {
 
-/* A rule and a case that fails without it and passes with it; none is known
- * where the number of entries is 0. */
-struct Rule {
-	uint32_t bit;
+/* A rule and a case that fails without it and passes with it. */
+struct RuleCase {
+	/* Bit of enum ph_rule. */
+	uint32_t rule;
 	const char *name;
+	/* Entry instances of the home domain; 0: no such case is known. */
 	int entries;
-	std::vector<sim::Strike> witness;
+	std::vector<sim::Strike> strikes;
 };
 
-const Rule kRules[] = {
+const RuleCase kRuleCases[] = {
 	{ PH_RULE_BACKUP_ACK,
-	  "copy-ack",
+	  "backup-ack",
 	  2,
 	  { { sim::Fault::kDelayShort, 2 },
 	    { sim::Fault::kEndpointKill, 64 },
@@ -41,7 +43,7 @@
 	    { sim::Fault::kIsolateFirst, 45 } } },
 	{ PH_RULE_FENCE, "fence", 0, {} },
 	{ PH_RULE_SOLO_FIRST_ATTEMPT,
-	  "alone-first",
+	  "solo-first-attempt",
 	  2,
 	  { { sim::Fault::kIsolateSecond, 57 },
 	    { sim::Fault::kCutDomain, 67 },
@@ -67,7 +69,7 @@
 	    { sim::Fault::kDrop, 45 },
 	    { sim::Fault::kIsolateFirst, 27 } } },
 	{ PH_RULE_SYNC,
-	  "seal",
+	  "sync",
 	  3,
 	  { { sim::Fault::kKillReceiver, 54 },
 	    { sim::Fault::kFreezeLong, 30 },
@@ -93,7 +95,7 @@
 	    { sim::Fault::kDrop, 45 },
 	    { sim::Fault::kIsolateFirst, 27 } } },
 	{ PH_RULE_CLEAN_DEATH,
-	  "death-in-time",
+	  "clean-death",
 	  2,
 	  { { sim::Fault::kStopSecond, 49 },
 	    { sim::Fault::kCutPair, 16 },
@@ -105,7 +107,7 @@
 	  { { sim::Fault::kStopSecond, 10 },
 	    { sim::Fault::kFreezeLong, 17 } } },
 	{ PH_RULE_SOLO_UNSENT,
-	  "alone-unsent",
+	  "solo-unsent",
 	  2,
 	  { { sim::Fault::kStopFirst, 67 },
 	    { sim::Fault::kDuplicate, 60 },
@@ -118,7 +120,7 @@
 	    { sim::Fault::kPlatformDown, 33 },
 	    { sim::Fault::kIsolateFirst, 2 } } },
 	{ PH_RULE_CONTINUITY,
-	  "unbroken",
+	  "continuity",
 	  2,
 	  { { sim::Fault::kStopFirst, 67 },
 	    { sim::Fault::kDuplicate, 60 },
@@ -130,41 +132,47 @@
 	    { sim::Fault::kPlatformDown, 35 },
 	    { sim::Fault::kKillSender, 180 } } },
 	{ PH_RULE_EARLIER_INCARNATIONS,
-	  "earlier-lives",
+	  "earlier-incarnations",
 	  2,
 	  { { sim::Fault::kDelayLong, 8 },
 	    { sim::Fault::kFreezeReceiver, 5 },
 	    { sim::Fault::kKillSender, 154 } } },
 };
 
-/* Cases that once failed with all rules and must not again. */
-struct OnceFailed {
-	const char *what;
+/* A case that failed with all rules in an earlier version and must pass. */
+struct RegressionCase {
+	/* The violation that was seen. */
+	const char *failure;
 	int entries;
 	std::vector<sim::Strike> strikes;
 };
 
-const OnceFailed kOnceFailed[] = {
-	{ "a forwarded waiter was told that its id is unknown",
+const RegressionCase kRegressionCases[] = {
+	{ "a waiting request that was relayed got the answer unknown id",
 	  2,
 	  { { sim::Fault::kPlatformDown, 21 },
 	    { sim::Fault::kDelayShort, 23 },
 	    { sim::Fault::kStopFirst, 3 } } },
-	{ "a late first attempt ran after its id was cancelled elsewhere",
+	{ "a late first attempt ran after its id was cancelled at another "
+	  "instance",
 	  2,
 	  { { sim::Fault::kDelayLong, 8 },
 	    { sim::Fault::kFreezeReceiver, 5 },
 	    { sim::Fault::kKillSender, 154 } } },
 };
 
+/* Sums over the cases of a run. */
 struct Totals {
 	std::atomic<uint64_t> cases{ 0 };
 	std::atomic<uint64_t> failed{ 0 };
+	/* Callers without a final answer. */
 	std::atomic<uint64_t> unanswered{ 0 };
 	std::mutex lock;
+	/* The first failed cases, as options for --one. */
 	std::vector<std::string> examples;
 };
 
+/* Returns a case as options for --one. */
 std::string describe(const sim::Options &o)
 {
 	std::string text = "--entries " + std::to_string(o.home_entries);
@@ -183,7 +191,8 @@
 	t->unanswered += r.unanswered;
 	if (r.violations.empty())
 		return;
-	/* A variant must fail where the whole set of rules does not. */
+	/* A variant counts as failed only if a promise about starts is
+	 * violated and the same case passes with all rules. */
 	if (o.omitted_rules) {
 		sim::Options intact = o;
 
@@ -200,11 +209,12 @@
 		t->examples.push_back(describe(o) + ": " + r.violations[0]);
 }
 
-/* Bound of remembered answers in every case of the run. */
+/* Limit of the bytes of retained answers in every case; 0: none. */
 size_t answer_bytes_max;
 
-/* Runs all cases on several threads; stops at a failure if asked to. */
-void run_all(const std::vector<sim::Options> &cases, Totals *t, bool stop)
+/* Runs all cases on several threads, or up to the first failure. */
+void run_all(const std::vector<sim::Options> &cases, Totals *t,
+	     bool stop_at_failure)
 {
 	std::atomic<size_t> next{ 0 };
 	std::vector<std::thread> threads;
@@ -216,7 +226,7 @@
 
 				if (at >= cases.size())
 					return;
-				if (stop && t->failed)
+				if (stop_at_failure && t->failed)
 					return;
 				sim::Options o = cases[at];
 
@@ -228,16 +238,19 @@
 		th.join();
 }
 
-std::vector<sim::Options> singles(int entries, uint64_t stride)
+/* The jobs have ended by this step; the later ones are heartbeats. */
+constexpr uint64_t kLastFaultStep = 420;
+
+/* Each fault at every stride-th step. */
+std::vector<sim::Options> single_fault_cases(int entries, uint64_t stride)
 {
 	std::vector<sim::Options> cases;
 	sim::Options o;
 
 	o.home_entries = entries;
 	uint64_t steps = sim::run(o).steps;
-	/* Steps long after the last answer repeat the heartbeat. */
-	if (steps > 420)
-		steps = 420;
+	if (steps > kLastFaultStep)
+		steps = kLastFaultStep;
 	for (uint64_t step = 1; step <= steps; step += stride)
 		for (int f = 1; f < (int)sim::Fault::kCount; f++) {
 			o.strikes = { { (sim::Fault)f, step } };
@@ -246,7 +259,8 @@
 	return cases;
 }
 
-std::vector<sim::Options> pairs(int entries, size_t count, uint64_t seed)
+/* Two random faults, in one case of four a third one. */
+std::vector<sim::Options> pair_cases(int entries, size_t count, uint64_t seed)
 {
 	std::vector<sim::Options> cases;
 	std::mt19937_64 random(seed);
@@ -272,17 +286,19 @@
 	return cases;
 }
 
-/* Three faults around the first messages, where the rules interlock. */
-std::vector<sim::Options> triples(int entries, size_t count, uint64_t seed)
+/* Three faults, two of them within the first 40 steps, in which the jobs are
+ * submitted and replicated and several rules apply at once. */
+std::vector<sim::Options> triple_cases(int entries, size_t count, uint64_t seed)
 {
-	const sim::Fault bases[] = {
+	const sim::Fault early_faults[] = {
 		sim::Fault::kPlatformDown, sim::Fault::kCutPair,
 		sim::Fault::kIsolateFirst, sim::Fault::kIsolateSecond,
 		sim::Fault::kFreezeSender, sim::Fault::kFreezeReceiver,
 		sim::Fault::kDelayLong,	   sim::Fault::kDelayShort,
 		sim::Fault::kFreezeLong,
 	};
-	const size_t base_count = sizeof(bases) / sizeof(bases[0]);
+	const size_t early_count =
+		sizeof(early_faults) / sizeof(early_faults[0]);
 	std::vector<sim::Options> cases;
 	std::mt19937_64 random(seed + 1);
 	sim::Options o;
@@ -294,8 +310,8 @@
 		uint64_t c = 1 + random() % (random() % 2 ? 60 : 400);
 
 		o.strikes = {
-			{ bases[random() % base_count], a },
-			{ bases[random() % base_count], b },
+			{ early_faults[random() % early_count], a },
+			{ early_faults[random() % early_count], b },
 			{ (sim::Fault)(
 				  1 + random() % ((int)sim::Fault::kCount - 1)),
 			  c },
@@ -305,8 +321,9 @@
 	return cases;
 }
 
-/* Two to four faults in quick succession, to find what shows a rule's need. */
-std::vector<sim::Options> bursts(int entries, size_t count, uint64_t seed)
+/* Two to four faults within the first 70 steps, to search for a case that fails
+ * without a rule. */
+std::vector<sim::Options> burst_cases(int entries, size_t count, uint64_t seed)
 {
 	std::vector<sim::Options> cases;
 	std::mt19937_64 random(seed + 2);
@@ -346,19 +363,20 @@
 		o.omitted_rules = rules;
 }
 
-/* What a design without some rules loses, by the same cases. */
+/* Reports how many single and paired faults fail without some rules. */
 int run_without(uint32_t rules, size_t pair_count, uint64_t seed)
 {
 	Totals single;
 	Totals pair;
-	std::vector<sim::Options> ones = singles(2, 7);
-	std::vector<sim::Options> twos = pairs(2, pair_count, seed);
+	std::vector<sim::Options> single_cases = single_fault_cases(2, 7);
+	std::vector<sim::Options> paired_cases =
+		pair_cases(2, pair_count, seed);
 
-	omit(&ones, rules);
-	omit(&twos, rules);
-	run_all(ones, &single, false);
+	omit(&single_cases, rules);
+	omit(&paired_cases, rules);
+	run_all(single_cases, &single, false);
 	report("single, 2 entries", single);
-	run_all(twos, &pair, false);
+	run_all(paired_cases, &pair, false);
 	report("pairs, 2 entries", pair);
 	return EXIT_SUCCESS;
 }
@@ -372,13 +390,14 @@
 		Totals pair;
 		Totals triple;
 
-		run_all(singles(entries, stride), &single, false);
+		run_all(single_fault_cases(entries, stride), &single, false);
 		report(entries == 2 ? "single, 2 entries" : "single, 3 entries",
 		       single);
-		run_all(pairs(entries, pair_count, seed), &pair, false);
+		run_all(pair_cases(entries, pair_count, seed), &pair, false);
 		report(entries == 2 ? "pairs, 2 entries" : "pairs, 3 entries",
 		       pair);
-		run_all(triples(entries, pair_count, seed), &triple, false);
+		run_all(triple_cases(entries, pair_count, seed), &triple,
+			false);
 		report(entries == 2 ? "triples, 2 entries"
 				    : "triples, 3 entries",
 		       triple);
@@ -387,12 +406,13 @@
 	return failed ? EXIT_FAILURE : EXIT_SUCCESS;
 }
 
-/* Looks for a case that fails without a rule and passes with it. */
-int hunt(uint32_t rules, int entries, size_t count, uint64_t seed)
+/* Searches for a case that fails without some rules and passes with them. */
+int search_failing_case(uint32_t rules, int entries, size_t count,
+			uint64_t seed)
 {
 	Totals t;
-	std::vector<sim::Options> cases = bursts(entries, count, seed);
-	std::vector<sim::Options> more = triples(entries, count, seed);
+	std::vector<sim::Options> cases = burst_cases(entries, count, seed);
+	std::vector<sim::Options> more = triple_cases(entries, count, seed);
 
 	cases.insert(cases.end(), more.begin(), more.end());
 	omit(&cases, rules);
@@ -401,44 +421,46 @@
 	return t.failed ? EXIT_SUCCESS : EXIT_FAILURE;
 }
 
-/* Each variant must fail in its case, and the whole set of rules must not. */
+/* Each variant must fail in its case, and the case must pass with all rules;
+ * so must the regression cases. */
 int run_variants()
 {
-	int wrong = 0;
+	int failures = 0;
 
-	for (const Rule &rule : kRules) {
+	for (const RuleCase &c : kRuleCases) {
 		sim::Options o;
 
-		if (!rule.entries) {
+		if (!c.entries) {
 			printf("without %-20s no failing case is known\n",
-			       rule.name);
+			       c.name);
 			continue;
 		}
-		o.home_entries = rule.entries;
-		o.strikes = rule.witness;
+		o.home_entries = c.entries;
+		o.strikes = c.strikes;
 		bool intact = sim::run(o).violations.empty();
-		o.omitted_rules = rule.bit;
+		o.omitted_rules = c.rule;
 		std::vector<std::string> v = sim::run(o).violations;
 
-		printf("without %-20s %s, %s with it: %s\n", rule.name,
+		printf("without %-20s %s, %s with it: %s\n", c.name,
 		       v.empty() ? "PASSES" : "fails",
 		       intact ? "passes" : "FAILS",
 		       v.empty() ? "" : v[0].c_str());
-		wrong += v.empty() || !intact;
+		failures += v.empty() || !intact;
 	}
-	for (const OnceFailed &c : kOnceFailed) {
+	for (const RegressionCase &c : kRegressionCases) {
 		sim::Options o;
 
 		o.home_entries = c.entries;
 		o.strikes = c.strikes;
 		bool passes = sim::run(o).violations.empty();
 
-		printf("%s: %s\n", c.what, passes ? "no more" : "FAILS");
-		wrong += !passes;
+		printf("%s: %s\n", c.failure, passes ? "passes" : "FAILS");
+		failures += !passes;
 	}
-	return wrong ? EXIT_FAILURE : EXIT_SUCCESS;
+	return failures ? EXIT_FAILURE : EXIT_SUCCESS;
 }
 
+/* Parses FAULT@STEP; a text that is none of these injects no fault. */
 sim::Strike parse_strike(const char *text)
 {
 	sim::Strike s;
@@ -456,7 +478,7 @@
 	return s;
 }
 
-/* Runs one case with a trace. */
+/* Runs one case; its trace is printed. */
 int run_one(const sim::Options &o)
 {
 	sim::Result r = sim::run(o);
@@ -476,7 +498,7 @@
 	bool single = false;
 	bool variants = false;
 	bool whole = false;
-	bool hunting = false;
+	bool searching = false;
 	uint64_t seed = 1;
 	size_t pair_count = 2000;
 
@@ -487,12 +509,15 @@
 		} else if (!strcmp(argv[i], "--variants")) {
 			variants = true;
 		} else if (!strcmp(argv[i], "--hunt")) {
-			hunting = true;
+			searching = true;
 		} else if (!strcmp(argv[i], "--one")) {
 			single = true;
 			one.trace = true;
 		} else if (i + 1 == argc) {
-			fprintf(stderr, "fault-matrix: %s?\n", argv[i]);
+			fprintf(stderr,
+				"fault-matrix: %s: unknown option or missing "
+				"value\n",
+				argv[i]);
 			return 2;
 		} else if (!strcmp(argv[i], "--seed")) {
 			seed = strtoull(argv[++i], nullptr, 10);
@@ -507,17 +532,17 @@
 			one.strikes.push_back(parse_strike(argv[++i]));
 		} else if (!strcmp(argv[i], "--without")) {
 			i++;
-			for (const Rule &r : kRules)
+			for (const RuleCase &r : kRuleCases)
 				if (!strcmp(r.name, argv[i]) ||
 				    !strcmp("all", argv[i]))
-					one.omitted_rules |= r.bit;
+					one.omitted_rules |= r.rule;
 		}
 	}
 	if (single)
 		return run_one(one);
-	if (hunting)
-		return hunt(one.omitted_rules, one.home_entries, pair_count,
-			    seed);
+	if (searching)
+		return search_failing_case(one.omitted_rules, one.home_entries,
+					   pair_count, seed);
 	if (variants)
 		return run_variants();
 	if (one.omitted_rules)
