--- a/fuzz/replay.c
+++ b/fuzz/replay.c
@@ -1,4 +1,4 @@
-/* Passes each file of a fuzzing corpus to its fuzz target, as a regression test.
+/* Passes each file of a fuzzing corpus to its fuzz target as a regression test.
  * Usage: replay DIR */
 
 #include <dirent.h>
--- a/test/fault_matrix.cc
+++ b/test/fault_matrix.cc
@@ -1,7 +1,7 @@
 /*
  * The fault matrix: simulates a few jobs with each fault at each step (or at
  * every seventh one), with random pairs and triples of faults, and checks that
- * no case violates a promise. Variants that omit one rule of the entry core
+ * no case violates an invariant. Variants that omit one rule of the entry core
  * must violate one in a known case, which shows that the rule is needed.
  */
 
@@ -191,7 +191,7 @@
 	t->unanswered += r.unanswered;
 	if (r.violations.empty())
 		return;
-	/* A variant counts as failed only if a promise about starts is
+	/* A variant counts as failed only if an invariant on starts is
 	 * violated and the same case passes with all rules. */
 	if (o.omitted_rules) {
 		sim::Options intact = o;
