--- a/include/peridothall.h
+++ b/include/peridothall.h
@@ -89,7 +89,7 @@
 	/** Isolation after which first attempts are started alone. */
 	uint64_t solo_after_us;
 	/** How long an ended job is remembered. */
-	uint64_t remember_us;
+	uint64_t retention_us;
 	/** Most bytes of remembered answers; ids are kept beyond it. */
 	uint64_t answer_bytes_max;
 	/** How long a request may wait for a home that can't be reached. */
--- a/src/entry.c
+++ b/src/entry.c
@@ -516,7 +516,7 @@
 	settings->ping_every_us = 250000;
 	settings->suspect_after_us = 1000000;
 	settings->solo_after_us = 2000000;
-	settings->remember_us = 600000000;
+	settings->retention_us = 600000000;
 	settings->hold_us = 3000000;
 	settings->answer_bytes_max = 128U << 20;
 	settings->task_timeout_us = 30000000;
@@ -542,7 +542,7 @@
 		.ping_every_us = e->set.ping_every_us,
 		.suspect_after_us = e->set.suspect_after_us,
 		.solo_after_us = e->set.solo_after_us,
-		.remember_us = e->set.remember_us,
+		.retention_us = e->set.retention_us,
 		.hold_us = e->set.hold_us,
 		.answer_bytes_max = (size_t)e->set.answer_bytes_max,
 		.queue_policy = &ph_queue_fair,
--- a/src/entry_core.c
+++ b/src/entry_core.c
@@ -114,7 +114,7 @@
 	ph_endpoints_update(sq->endpoints, listed, count);
 	ph_endpoints_share_slots(sq->endpoints, &core->roster,
 				 ph_membership_self(core));
-	ph_dispatch_pump(core, now_us);
+	ph_dispatch_start_queued(core, now_us);
 	ph_replicate_flush(core, now_us);
 }
 
@@ -161,7 +161,7 @@
 			  const char *addr)
 {
 	ph_core_enter(core, now_us);
-	ph_requests_target_gone(core, now_us, addr);
+	ph_requests_target_lost(core, now_us, addr);
 }
 
 static bool has_other_members(const struct ph_core *core)
@@ -200,7 +200,7 @@
 		return;
 	core->stopping = true;
 	core->stop_us = now_us;
-	ph_list_for (job, &core->ledger)
+	ph_ledger_for_each_live (job, &core->ledger)
 		ph_replicate(core, now_us, job, true);
 	ph_replicate_flush(core, now_us);
 }
@@ -259,8 +259,8 @@
 		json_array_append_new(
 			list,
 			json_pack("{s:s,s:s,s:s,s:b,s:I,s:I}", "name",
-				  p->m.name, "addr", p->m.addr, "life",
-				  liveness_names[p->life], "silent",
+				  p->member.name, "addr", p->member.addr,
+				  "life", liveness_names[p->liveness], "silent",
 				  (int)ph_peer_silent(core, p, now_us),
 				  "records_waiting", (json_int_t)p->out.count,
 				  "sealed_version",
@@ -317,7 +317,7 @@
 	json_t *list = json_array();
 	struct ph_job *job;
 
-	ph_list_for (job, &core->ledger) {
+	ph_ledger_for_each_live (job, &core->ledger) {
 		char states[PH_MAX_TASKS + 1] = "";
 		uint32_t i;
 
@@ -335,7 +335,8 @@
 				  "tasks", states, "ended", (int)job->ended,
 				  "enqueued", (int)job->live->enqueued,
 				  "waiters", (int)job->live->waiter_count,
-				  "fresh", (json_int_t)job->live->fresh));
+				  "fresh",
+				  (json_int_t)job->live->complete_version));
 	}
 	return list;
 }
--- a/src/entry_core.h
+++ b/src/entry_core.h
@@ -125,7 +125,7 @@
 	 * tasks may be started solo. */
 	uint64_t solo_after_us;
 	/** Time for which ended jobs are kept. */
-	uint64_t remember_us;
+	uint64_t retention_us;
 	/** Longest time for which a request is held. */
 	uint64_t hold_us;
 	/** Most bytes of answers of ended jobs; 0: no limit. */
--- a/src/entry_core_impl.h
+++ b/src/entry_core_impl.h
@@ -45,9 +45,9 @@
 /** Another instance of the own failure domain. */
 struct ph_peer {
 	bool used;
-	enum ph_liveness life;
+	enum ph_liveness liveness;
 	/** Its entry in the roster; for non-members as their messages say. */
-	struct ph_roster_member m;
+	struct ph_roster_member member;
 	uint64_t added_us;
 	/** Arrival of its last message; 0: none yet. */
 	uint64_t heard_us;
@@ -100,7 +100,7 @@
 	uint64_t sent_us;
 	/** Request to relay again if the target is lost; NULL unless a test
 	 * omits PH_RULE_RELAY_ONCE. */
-	struct ph_held_request *again;
+	struct ph_held_request *retry_request;
 };
 
 #define PH_RELAY_BUCKETS 4096U
@@ -328,11 +328,11 @@
 				const struct ph_job *job,
 				const struct ph_task *task, uint64_t now_us);
 /** Starts the queued tasks of all services that have a free slot. */
-void ph_dispatch_pump(struct ph_core *core, uint64_t now_us);
+void ph_dispatch_start_queued(struct ph_core *core, uint64_t now_us);
 /** Starts the bound tasks of a job whose record with this sequence number was
  * acknowledged; sends the answer if the job has ended. */
-void ph_dispatch_acked(struct ph_core *core, uint64_t now_us,
-		       struct ph_job *job, uint64_t seq);
+void ph_dispatch_record_acked(struct ph_core *core, uint64_t now_us,
+			      struct ph_job *job, uint64_t seq);
 /** Applies the present start permission to a live job: queues its tasks, hands
  * it to another instance, or determines its outcome. */
 void ph_dispatch_review_job(struct ph_core *core, uint64_t now_us,
@@ -351,8 +351,8 @@
 			struct ph_job *job);
 /** Sends the answer of an ended job to its waiters, unless a not-run in it
  * must first be recorded at the backup or can still be overruled. */
-void ph_dispatch_answer(struct ph_core *core, uint64_t now_us,
-			struct ph_job *job);
+void ph_dispatch_send_answer(struct ph_core *core, uint64_t now_us,
+			     struct ph_job *job);
 /** Starts tasks and, at intervals, reviews and expires jobs. */
 void ph_dispatch_tick(struct ph_core *core, uint64_t now_us);
 /** Releases an endpoint slot of a bound task; a callback of ph_job_merge. */
@@ -373,7 +373,7 @@
 void ph_requests_retry(struct ph_core *core, uint64_t now_us);
 /** Ends the relays to an address that was lost; their origins get the pending
  * answer, as the outcome is unknown. */
-void ph_requests_target_gone(struct ph_core *core, uint64_t now_us,
+void ph_requests_target_lost(struct ph_core *core, uint64_t now_us,
 			     const char *addr);
 /** Answers a local caller or a relaying instance with an HTTP status and a JSON
  * document. */
--- a/src/entry_dispatch.c
+++ b/src/entry_dispatch.c
@@ -17,10 +17,11 @@
  * a task of the job. */
 static bool accounted_for(const struct ph_core *core, const struct ph_job *job)
 {
-	if (job->live && job->live->fresh < core->roster.broken &&
+	if (job->live &&
+	    job->live->complete_version < core->roster.continuity_version &&
 	    ph_rule(core, PH_RULE_CONTINUITY))
 		return false;
-	if (job->first_attempt || job->known)
+	if (job->first_attempt || job->starts_accounted_for)
 		return true;
 	if (!ph_rule(core, PH_RULE_COMPLETE_AT_START))
 		return true;
@@ -33,7 +34,7 @@
 static bool sole_survivor_of_two(const struct ph_core *core,
 				 const struct ph_peer *partner)
 {
-	return partner->life == PH_DEAD_CLEAN && core->roster.count == 2;
+	return partner->liveness == PH_DEAD_CLEAN && core->roster.count == 2;
 }
 
 /* Whether the job's tasks may start while the partner is silent and the
@@ -78,7 +79,7 @@
 		return accounted_for(core, job) ? PH_START_SOLO : PH_START_WAIT;
 	if (backup)
 		*backup = partner;
-	if (partner->life == PH_ALIVE &&
+	if (partner->liveness == PH_ALIVE &&
 	    !ph_peer_silent(core, partner, now_us)) {
 		if (self == pair.backup)
 			return PH_START_NONE;
@@ -164,7 +165,7 @@
 	r->endpoint = endpoint;
 	r->index = index;
 	r->started_us = now_us;
-	job->refs++;
+	job->running_refs++;
 	task->slot = NULL;
 	ph_task_set_state(job, index, PH_TASK_STARTED);
 	task->starter = core->self.incarnation;
@@ -280,7 +281,7 @@
 	}
 }
 
-void ph_dispatch_pump(struct ph_core *core, uint64_t now_us)
+void ph_dispatch_start_queued(struct ph_core *core, uint64_t now_us)
 {
 	size_t i;
 
@@ -311,8 +312,8 @@
 			unbind_task(core, job, i, PH_TASK_QUEUED);
 }
 
-void ph_dispatch_acked(struct ph_core *core, uint64_t now_us,
-		       struct ph_job *job, uint64_t seq)
+void ph_dispatch_record_acked(struct ph_core *core, uint64_t now_us,
+			      struct ph_job *job, uint64_t seq)
 {
 	struct ph_live_job *live = job->live;
 	uint32_t i;
@@ -320,7 +321,7 @@
 	if (!live)
 		return;
 	if (job->ended) {
-		ph_dispatch_answer(core, now_us, job);
+		ph_dispatch_send_answer(core, now_us, job);
 		return;
 	}
 	if (ph_dispatch_permission(core, job, now_us, NULL) <
@@ -355,24 +356,24 @@
 	}
 }
 
-void ph_dispatch_answer(struct ph_core *core, uint64_t now_us,
-			struct ph_job *job)
+void ph_dispatch_send_answer(struct ph_core *core, uint64_t now_us,
+			     struct ph_job *job)
 {
 	struct ph_live_job *live = job->live;
-	bool not_run_was_gated = job->gated;
+	bool answer_awaited_backup = job->answer_awaits_backup;
 	struct ph_peer *partner;
 	size_t i;
 
 	if (!live)
 		return;
-	if (job->gated && ph_rule(core, PH_RULE_GATE_NOT_RUN) &&
+	if (job->answer_awaits_backup && ph_rule(core, PH_RULE_GATE_NOT_RUN) &&
 	    !may_answer_not_run(core, now_us, job))
 		return;
-	job->gated = false;
+	job->answer_awaits_backup = false;
 	for (i = 0; i < live->waiter_count; i++)
 		ph_requests_answer_job(core, &live->waiters[i], job);
 	ph_job_free_live(&core->ledger, job);
-	if (!not_run_was_gated)
+	if (!answer_awaited_backup)
 		return;
 	ph_dispatch_permission(core, job, now_us, &partner);
 	if (partner && !(job->holders & (1U << ph_peer_slot(core, partner))))
@@ -393,8 +394,8 @@
 	}
 	core->counters.jobs_ended++;
 	ph_job_end(&core->ledger, job, now_us);
-	ph_replicate(core, now_us, job, job->gated);
-	ph_dispatch_answer(core, now_us, job);
+	ph_replicate(core, now_us, job, job->answer_awaits_backup);
+	ph_dispatch_send_answer(core, now_us, job);
 }
 
 /* The endpoint refused the task, so it has not run. It is queued again, or is
@@ -466,7 +467,7 @@
 	r->used = false;
 	core->running_count--;
 	job = r->job;
-	job->refs--;
+	job->running_refs--;
 	r->endpoint->busy--;
 	if (outcome == PH_OUTCOME_NOT_STARTED || outcome == PH_OUTCOME_LEAVING)
 		ph_endpoint_refused(r->endpoint, now_us,
@@ -476,7 +477,7 @@
 	if (job->live && !job->ended)
 		apply_outcome(core, now_us, job, r->index, outcome, status,
 			      result, len);
-	ph_dispatch_pump(core, now_us);
+	ph_dispatch_start_queued(core, now_us);
 	ph_replicate_flush(core, now_us);
 }
 
@@ -503,7 +504,7 @@
 		return true;
 	peer = ph_peer_by_incarnation(core, starter);
 	if (peer)
-		return peer->life != PH_ALIVE;
+		return peer->liveness != PH_ALIVE;
 	return ph_roster_find(&core->roster, starter) < 0;
 }
 
@@ -623,7 +624,7 @@
 		return;
 	}
 	if (job->ended) {
-		ph_dispatch_answer(core, now_us, job);
+		ph_dispatch_send_answer(core, now_us, job);
 		return;
 	}
 	resolve_lost_starts(core, job);
@@ -652,7 +653,7 @@
 		ph_dispatch_review_job(core, now_us, job);
 		job = next;
 	}
-	ph_dispatch_pump(core, now_us);
+	ph_dispatch_start_queued(core, now_us);
 }
 
 /* ## Deadlines */
@@ -681,16 +682,16 @@
 }
 
 /* A job that another instance starts normally ends by that instance's record.
- * If none has come remember_us after the deadline, it is ended here, its
+ * If none has come retention_us after the deadline, it is ended here, its
  * unfinished tasks as may-have-run. */
 static void expire_foreign_job(struct ph_core *core, uint64_t now_us,
 			       struct ph_job *job)
 {
 	uint32_t i;
 
-	if (now_us < job->live->deadline_us + core->opt.remember_us)
+	if (now_us < job->live->deadline_us + core->opt.retention_us)
 		return;
-	if (job->refs)
+	if (job->running_refs)
 		return;
 	for (i = 0; i < job->live->task_count; i++)
 		if (job->live->tasks[i].state < PH_TASK_NOT_RUN)
@@ -741,7 +742,7 @@
 	struct ph_job *job = core->ledger.live_head;
 
 	if (now_us < core->reviewed_us + REVIEW_INTERVAL_US) {
-		ph_dispatch_pump(core, now_us);
+		ph_dispatch_start_queued(core, now_us);
 		return;
 	}
 	while (job) {
@@ -752,7 +753,7 @@
 	}
 	ph_dispatch_review(core, now_us);
 	core->counters.expired +=
-		ph_ledger_expire(&core->ledger, now_us, core->opt.remember_us);
+		ph_ledger_expire(&core->ledger, now_us, core->opt.retention_us);
 	if (core->opt.answer_bytes_max)
 		core->counters.answers_dropped += ph_ledger_trim(
 			&core->ledger, core->opt.answer_bytes_max);
--- a/src/entry_http.c
+++ b/src/entry_http.c
@@ -97,7 +97,7 @@
 	const char *value = ph_http_req_header(req, "Sent-Ago-Ms");
 
 	return value &&
-	       strtoull(value, NULL, 10) >= e->set.remember_us / US_PER_MS;
+	       strtoull(value, NULL, 10) >= e->set.retention_us / US_PER_MS;
 }
 
 static void handle_job(struct ph_entry *e, struct ph_http_req *req,
--- a/src/entry_main.c
+++ b/src/entry_main.c
@@ -64,7 +64,7 @@
 			&set.solo_after_us),
 		PH_SETTING_NUM(PH_SETTING_MS, "remember-ms", "600000",
 			       "how long an answer is remembered",
-			       &set.remember_us),
+			       &set.retention_us),
 		PH_SETTING_NUM(PH_SETTING_NUMBER, "answers-mb", "128",
 			       "most memory for remembered answers",
 			       &answers_mb),
--- a/src/entry_membership.c
+++ b/src/entry_membership.c
@@ -49,10 +49,10 @@
 	const struct ph_roster *r = &core->roster;
 	struct ph_job *job;
 
-	ph_list_for (job, &core->ledger)
-		if (job->live->fresh >= r->broken &&
+	ph_ledger_for_each_live (job, &core->ledger)
+		if (job->live->complete_version >= r->continuity_version &&
 		    is_holder(r, core->self.incarnation, job->key_hash))
-			job->live->fresh = r->version;
+			job->live->complete_version = r->version;
 }
 
 /* Jobs that were complete under the old roster stay so under the new one,
@@ -64,13 +64,13 @@
 	bool member = ph_membership_self(core) >= 0;
 	struct ph_job *job;
 
-	ph_list_for (job, &core->ledger) {
+	ph_ledger_for_each_live (job, &core->ledger) {
 		bool complete =
-			member && job->live->fresh >= old->version &&
+			member && job->live->complete_version >= old->version &&
 			is_holder(old, core->self.incarnation, job->key_hash);
 
 		if (complete || ph_job_unshared(job))
-			job->live->fresh = core->roster.version;
+			job->live->complete_version = core->roster.version;
 	}
 }
 
@@ -135,7 +135,7 @@
 			p = ph_peer_add(core, now_us, m);
 		if (!p)
 			continue;
-		p->m = *m;
+		p->member = *m;
 		/* A new member counts as silent only suspect_after_us after
 		 * it has joined. */
 		if (m->joined == core->roster.version)
@@ -156,7 +156,7 @@
 		if (!p->used)
 			continue;
 		ph_replicate_reset(core, p);
-		if (ph_roster_find(&core->roster, p->m.incarnation) < 0)
+		if (ph_roster_find(&core->roster, p->member.incarnation) < 0)
 			ph_replicate_drop(core, p);
 	}
 	ph_replicate_all(core, now_us);
@@ -320,15 +320,16 @@
 		bool clean_death;
 
 		if (!p->used ||
-		    ph_roster_find(&core->roster, p->m.incarnation) < 0)
+		    ph_roster_find(&core->roster, p->member.incarnation) < 0)
 			continue;
-		if (p->life == PH_ALIVE && !ph_peer_silent(core, p, now_us))
+		if (p->liveness == PH_ALIVE && !ph_peer_silent(core, p, now_us))
 			continue;
-		clean_death = p->life == PH_DEAD_CLEAN && core->active;
-		if (!ph_roster_remove(&next, p->m.incarnation, !clean_death))
+		clean_death = p->liveness == PH_DEAD_CLEAN && core->active;
+		if (!ph_roster_remove(&next, p->member.incarnation,
+				      !clean_death))
 			continue;
 		if (!core->active)
-			next.broken = next.version;
+			next.continuity_version = next.version;
 		core->counters.takeovers++;
 		start_write(core, &next);
 		return true;
@@ -348,7 +349,7 @@
 	for (i = 0; i < core->roster.lost_count; i++) {
 		uint64_t id = core->roster.lost[i];
 		bool expired = now_us >=
-			       core->lost_since_us[i] + core->opt.remember_us;
+			       core->lost_since_us[i] + core->opt.retention_us;
 
 		if (id != core->handed_over_id && !expired)
 			continue;
@@ -390,7 +391,7 @@
 			ph_peer_by_incarnation(core, m->incarnation);
 
 		if (is_own_earlier_incarnation(core, m) ||
-		    (p && p->life != PH_ALIVE))
+		    (p && p->liveness != PH_ALIVE))
 			(*dead)++;
 		else if (p && p->heard_us && !ph_peer_silent(core, p, now_us))
 			(*live)++;
@@ -407,7 +408,7 @@
 		if (!ph_roster_remove(&next, next.members[0].incarnation, true))
 			return;
 	if (core->roster.version)
-		next.broken = next.version;
+		next.continuity_version = next.version;
 	if (ph_roster_add(&next, &core->self))
 		start_write(core, &next);
 }
@@ -448,7 +449,8 @@
 		core->service_queues[i].queue =
 			ph_queue_new(core->mem, core->opt.queue_policy);
 	}
-	ph_ledger_retire(&core->ledger, now_us, now_us + core->opt.remember_us);
+	ph_ledger_retire(&core->ledger, now_us,
+			 now_us + core->opt.retention_us);
 	core->self.incarnation++;
 	core->retiring = false;
 	core->non_member_since_us = now_us;
@@ -464,13 +466,13 @@
 		struct ph_peer *p = &core->peers[i];
 		struct ph_msg msg = { .type = PH_MSG_HANDED_OVER };
 
-		if (!p->used || p->life != PH_ALIVE)
+		if (!p->used || p->liveness != PH_ALIVE)
 			continue;
 		if (now_us < p->roster_sent_us + HANDED_OVER_INTERVAL_US)
 			continue;
 		p->roster_sent_us = now_us;
 		msg.subject_incarnation = core->self.incarnation;
-		ph_core_send(core, p->m.addr, &msg);
+		ph_core_send(core, p->member.addr, &msg);
 	}
 }
 
@@ -509,9 +511,9 @@
 		const struct ph_peer *p = &core->peers[i];
 
 		if (!p->used ||
-		    ph_roster_find(&core->roster, p->m.incarnation) < 0)
+		    ph_roster_find(&core->roster, p->member.incarnation) < 0)
 			continue;
-		if (p->life != PH_ALIVE || ph_peer_silent(core, p, now_us))
+		if (p->liveness != PH_ALIVE || ph_peer_silent(core, p, now_us))
 			return true;
 	}
 	return false;
--- a/src/entry_peers.c
+++ b/src/entry_peers.c
@@ -19,7 +19,8 @@
 	size_t i;
 
 	for (i = 0; i < PH_MAX_PEERS; i++)
-		if (core->peers[i].used && core->peers[i].m.incarnation == id)
+		if (core->peers[i].used &&
+		    core->peers[i].member.incarnation == id)
 			return &core->peers[i];
 	return NULL;
 }
@@ -31,7 +32,8 @@
 	for (i = 0; i < PH_MAX_PEERS; i++) {
 		struct ph_peer *p = &core->peers[i];
 
-		if (p->used && p->life == PH_ALIVE && !strcmp(p->m.addr, addr))
+		if (p->used && p->liveness == PH_ALIVE &&
+		    !strcmp(p->member.addr, addr))
 			return p;
 	}
 	return NULL;
@@ -76,9 +78,9 @@
 static bool slot_reusable(const struct ph_core *core, const struct ph_peer *p,
 			  uint64_t now_us)
 {
-	if (ph_roster_find(&core->roster, p->m.incarnation) >= 0)
+	if (ph_roster_find(&core->roster, p->member.incarnation) >= 0)
 		return false;
-	if (p->life != PH_ALIVE)
+	if (p->liveness != PH_ALIVE)
 		return true;
 	return now_us > p->heard_us + PEER_RETENTION_US &&
 	       now_us > p->added_us + PEER_RETENTION_US;
@@ -95,7 +97,7 @@
 
 		for (; job; job = job->chain) {
 			job->holders &= keep;
-			job->seen &= keep;
+			job->has_body &= keep;
 			job->dirty &= keep;
 			job->in_flight &= keep;
 		}
@@ -122,7 +124,7 @@
 	core->mem->free(slot->out.batch);
 	memset(slot, 0, sizeof(*slot));
 	slot->used = true;
-	slot->m = *member;
+	slot->member = *member;
 	slot->added_us = now_us;
 	return slot;
 }
@@ -135,8 +137,8 @@
 	for (i = 0; i < PH_MAX_PEERS; i++) {
 		const struct ph_peer *p = &core->peers[i];
 
-		if (p->used && p->life != PH_ALIVE &&
-		    ph_roster_find(&core->roster, p->m.incarnation) >= 0)
+		if (p->used && p->liveness != PH_ALIVE &&
+		    ph_roster_find(&core->roster, p->member.incarnation) >= 0)
 			dead++;
 	}
 	return dead;
@@ -150,13 +152,13 @@
 
 	if (!ph_rule(core, PH_RULE_CLEAN_DEATH))
 		clean = true;
-	peer->life = clean ? PH_DEAD_CLEAN : PH_DEAD_UNACCOUNTED;
+	peer->liveness = clean ? PH_DEAD_CLEAN : PH_DEAD_UNACCOUNTED;
 	/* If two members die at once, or one before state transfer is complete,
 	 * a job's last record may be lost. */
 	if (!core->active || count_dead_members(core) > 1)
-		peer->life = PH_DEAD_UNACCOUNTED;
+		peer->liveness = PH_DEAD_UNACCOUNTED;
 	ph_replicate_drop(core, peer);
-	ph_requests_target_gone(core, now_us, peer->m.addr);
+	ph_requests_target_lost(core, now_us, peer->member.addr);
 	ph_dispatch_review(core, now_us);
 	ph_requests_retry(core, now_us);
 }
@@ -171,7 +173,7 @@
 	if (peer)
 		mark_peer_dead(core, now_us, peer);
 	else
-		ph_requests_target_gone(core, now_us, addr);
+		ph_requests_target_lost(core, now_us, addr);
 	ph_replicate_flush(core, now_us);
 }
 
@@ -182,7 +184,7 @@
 {
 	struct ph_peer *old = ph_peer_by_addr(core, msg->addr);
 
-	if (old && old->m.incarnation != msg->incarnation)
+	if (old && old->member.incarnation != msg->incarnation)
 		mark_peer_dead(core, now_us, old);
 }
 
@@ -201,7 +203,7 @@
 	ph_roster_encode(&core->roster, &doc);
 	msg.doc = doc.data;
 	msg.doc_len = doc.len;
-	ph_core_send(core, peer->m.addr, &msg);
+	ph_core_send(core, peer->member.addr, &msg);
 	ph_buf_free(&doc);
 }
 
@@ -221,7 +223,7 @@
 		ph_strcopy(m.addr, sizeof(m.addr), msg->addr);
 		peer = ph_peer_add(core, now_us, &m);
 	}
-	if (!peer || peer->life != PH_ALIVE)
+	if (!peer || peer->liveness != PH_ALIVE)
 		return;
 	peer->heard_us = now_us;
 	if (msg->roster_version < core->roster.version)
@@ -243,9 +245,9 @@
 		const struct ph_peer *p = &core->peers[i];
 		uint64_t at;
 
-		if (!p->used || p->life != PH_ALIVE)
+		if (!p->used || p->liveness != PH_ALIVE)
 			continue;
-		if (ph_roster_find(&core->roster, p->m.incarnation) < 0)
+		if (ph_roster_find(&core->roster, p->member.incarnation) < 0)
 			continue;
 		at = last_contact_us(core, p) + core->opt.solo_after_us;
 		if (at <= now_us)
@@ -264,7 +266,7 @@
 	peer->pinged_us = now_us;
 	msg.sent_us = now_us;
 	msg.synced_version = peer->synced_by_me;
-	ph_core_send(core, peer->m.addr, &msg);
+	ph_core_send(core, peer->member.addr, &msg);
 }
 
 void ph_peers_ping(struct ph_core *core, uint64_t now_us,
@@ -273,7 +275,7 @@
 	struct ph_peer *peer = ph_peer_by_incarnation(core, msg->incarnation);
 	struct ph_msg pong = { .type = PH_MSG_PONG };
 
-	if (!peer || peer->life != PH_ALIVE)
+	if (!peer || peer->liveness != PH_ALIVE)
 		return;
 	if (peer->synced_to_me < msg->synced_version)
 		peer->synced_to_me = msg->synced_version;
@@ -284,7 +286,7 @@
 	if (!peer->unreplicated || !ph_rule(core, PH_RULE_UNREPLICATED))
 		pong.no_solo_us = no_solo_duration_us(core, now_us);
 	pong.synced_version = peer->synced_by_me;
-	ph_core_send(core, peer->m.addr, &pong);
+	ph_core_send(core, peer->member.addr, &pong);
 	ph_membership_check_active(core, now_us);
 }
 
@@ -294,7 +296,7 @@
 	struct ph_peer *peer = ph_peer_by_incarnation(core, msg->incarnation);
 	uint64_t until = msg->sent_us + msg->no_solo_us;
 
-	if (!peer || peer->life != PH_ALIVE || msg->sent_us > now_us)
+	if (!peer || peer->liveness != PH_ALIVE || msg->sent_us > now_us)
 		return;
 	if (until > peer->no_solo_until_us)
 		peer->no_solo_until_us = until;
@@ -310,7 +312,7 @@
 	for (i = 0; i < PH_MAX_PEERS; i++) {
 		struct ph_peer *p = &core->peers[i];
 
-		if (!p->used || p->life != PH_ALIVE)
+		if (!p->used || p->liveness != PH_ALIVE)
 			continue;
 		if (now_us < p->pinged_us + core->opt.ping_every_us)
 			continue;
@@ -345,11 +347,11 @@
 		struct ph_peer *p = &core->peers[i];
 		bool silent;
 
-		if (!p->used || p->life != PH_ALIVE)
+		if (!p->used || p->liveness != PH_ALIVE)
 			continue;
 		silent = ph_peer_silent(core, p, now_us);
 		if (silent && !p->was_silent)
-			ph_requests_target_gone(core, now_us, p->m.addr);
+			ph_requests_target_lost(core, now_us, p->member.addr);
 		p->was_silent = silent;
 	}
 }
--- a/src/entry_replication.c
+++ b/src/entry_replication.c
@@ -28,7 +28,7 @@
 		return NULL;
 	peer = ph_peer_by_incarnation(core,
 				      core->roster.members[other].incarnation);
-	if (peer && peer->life == PH_ALIVE)
+	if (peer && peer->liveness == PH_ALIVE)
 		return peer;
 	if (self >= 0 || pair.backup < 0)
 		return NULL;
@@ -42,7 +42,7 @@
 	struct ph_outbox *out = &peer->out;
 	uint16_t bit = (uint16_t)(1U << ph_peer_slot(core, peer));
 
-	if (peer->life != PH_ALIVE)
+	if (peer->liveness != PH_ALIVE)
 		return;
 	job->holders &= (uint16_t)~bit;
 	if (urgent)
@@ -147,7 +147,7 @@
 	for (i = 0; i < PH_MAX_PEERS; i++) {
 		const struct ph_peer *p = &core->peers[i];
 
-		if (p->used && p->life == PH_ALIVE &&
+		if (p->used && p->liveness == PH_ALIVE &&
 		    (p->out.count || p->out.batch_count))
 			return false;
 	}
@@ -221,7 +221,7 @@
 	msg->records = core->mem->calloc(count, sizeof(*msg->records));
 	msg->count = count;
 	for (i = 0; i < count; i++) {
-		ph_job_fill_record(jobs[i], now_us, !(jobs[i]->seen & bit),
+		ph_job_fill_record(jobs[i], now_us, !(jobs[i]->has_body & bit),
 				   &msg->records[i], *tasks + used);
 		used += msg->records[i].count;
 	}
@@ -249,7 +249,7 @@
 	msg.seq = out->seq;
 	core->counters.record_batches++;
 	core->counters.records_sent += msg.count;
-	ph_core_send(core, peer->m.addr, &msg);
+	ph_core_send(core, peer->member.addr, &msg);
 	core->mem->free(msg.records);
 	core->mem->free(tasks);
 }
@@ -264,7 +264,7 @@
 	peer->unreplicated = false;
 	if (peer->synced_by_me >= core->roster.version)
 		return;
-	if (ph_roster_find(&core->roster, peer->m.incarnation) < 0)
+	if (ph_roster_find(&core->roster, peer->member.incarnation) < 0)
 		return;
 	peer->synced_by_me = core->roster.version;
 	ph_peer_send_ping(core, now_us, peer);
@@ -291,7 +291,7 @@
 	size_t i;
 
 	for (i = 0; i < PH_MAX_PEERS; i++)
-		if (core->peers[i].used && core->peers[i].life == PH_ALIVE)
+		if (core->peers[i].used && core->peers[i].liveness == PH_ALIVE)
 			flush_peer(core, now_us, &core->peers[i]);
 }
 
@@ -348,7 +348,7 @@
 			job);
 	job->cancelled = r->cancelled;
 	ph_job_set_answer(&core->ledger, job, now_us, r->answer, r->answer_len);
-	ph_dispatch_answer(core, now_us, job);
+	ph_dispatch_send_answer(core, now_us, job);
 	return PH_MERGE_CHANGED;
 }
 
@@ -357,11 +357,12 @@
 static enum ph_merge merge_tasks(struct ph_core *core, struct ph_job *job,
 				 const struct ph_record *r)
 {
-	bool sender_complete = r->fresh >= core->roster.broken ||
-			       !ph_rule(core, PH_RULE_CONTINUITY);
+	bool sender_complete =
+		r->complete_version >= core->roster.continuity_version ||
+		!ph_rule(core, PH_RULE_CONTINUITY);
 
-	if (job->live->fresh < r->fresh)
-		job->live->fresh = r->fresh;
+	if (job->live->complete_version < r->complete_version)
+		job->live->complete_version = r->complete_version;
 	return ph_job_merge(&core->ledger, job, r, core->self.incarnation,
 			    sender_complete, ph_dispatch_release_slot, core);
 }
@@ -397,9 +398,9 @@
 		job = add_from_record(core, now_us, r);
 	if (!job)
 		return NULL;
-	if (core->roster.lost_count == 0 || r->known)
-		job->known = true;
-	job->seen |= bit;
+	if (core->roster.lost_count == 0 || r->starts_accounted_for)
+		job->starts_accounted_for = true;
+	job->has_body |= bit;
 	if (added && !ph_rule(core, PH_RULE_MERGE) && !r->ended)
 		merge = merge_tasks(core, job, r);
 	else
@@ -426,7 +427,7 @@
 
 	if (count)
 		build_records(core, now_us, conflicts, count, 0, ack, &tasks);
-	ph_core_send(core, peer->m.addr, ack);
+	ph_core_send(core, peer->member.addr, ack);
 	core->mem->free(ack->records);
 	core->mem->free(tasks);
 }
@@ -440,12 +441,12 @@
 	size_t count = 0;
 	size_t i;
 
-	if (!peer || peer->life != PH_ALIVE)
+	if (!peer || peer->liveness != PH_ALIVE)
 		return;
 	if (!roster_version_accepted(core, msg) ||
 	    ph_membership_self(core) < 0) {
 		core->counters.records_refused++;
-		ph_core_send(core, peer->m.addr, &ack);
+		ph_core_send(core, peer->member.addr, &ack);
 		return;
 	}
 	conflicts = core->mem->calloc(msg->count, sizeof(struct ph_job *));
@@ -462,7 +463,7 @@
 	ack.accepted = true;
 	send_ack(core, now_us, peer, &ack, conflicts, count);
 	core->mem->free(conflicts);
-	ph_dispatch_pump(core, now_us);
+	ph_dispatch_start_queued(core, now_us);
 }
 
 /* Marks the jobs of an acknowledged batch as held by the peer and starts the
@@ -480,12 +481,12 @@
 		struct ph_job *job = out->batch[i];
 
 		job->in_flight &= (uint16_t)~bit;
-		job->seen |= bit;
+		job->has_body |= bit;
 		if (!(job->dirty & bit))
 			job->holders |= bit;
-		ph_dispatch_acked(core, now_us, job, seq);
+		ph_dispatch_record_acked(core, now_us, job, seq);
 		if (core->roster.lost_count == 0)
-			job->known = true;
+			job->starts_accounted_for = true;
 	}
 }
 
@@ -495,7 +496,7 @@
 	struct ph_peer *peer = ph_peer_by_incarnation(core, msg->incarnation);
 	size_t i;
 
-	if (!peer || peer->life != PH_ALIVE)
+	if (!peer || peer->liveness != PH_ALIVE)
 		return;
 	if (!peer->out.batch_count || peer->out.seq != msg->seq)
 		return;
@@ -507,6 +508,6 @@
 	for (i = 0; i < msg->count; i++)
 		apply_record(core, now_us, peer, &msg->records[i]);
 	batch_acked(core, now_us, peer, msg->seq);
-	ph_dispatch_pump(core, now_us);
+	ph_dispatch_start_queued(core, now_us);
 	check_synced(core, now_us, peer);
 }
--- a/src/entry_requests.c
+++ b/src/entry_requests.c
@@ -120,7 +120,7 @@
 
 static void relay_free(struct ph_core *core, struct ph_relay *relay)
 {
-	held_free(core, relay->again);
+	held_free(core, relay->retry_request);
 	core->mem->free(relay);
 	core->relay_count--;
 }
@@ -151,7 +151,7 @@
 	if (ph_rule(core, PH_RULE_RELAY_ONCE))
 		held_free(core, h);
 	else
-		r->again = h;
+		r->retry_request = h;
 }
 
 void ph_requests_reply(struct ph_core *core, uint64_t now_us,
@@ -197,9 +197,9 @@
 				continue;
 			}
 			*at = r->chain;
-			if (r->again) {
-				held_append(core, r->again);
-				r->again = NULL;
+			if (r->retry_request) {
+				held_append(core, r->retry_request);
+				r->retry_request = NULL;
 			} else {
 				ph_requests_answer_pending(core, &r->origin);
 			}
@@ -208,7 +208,7 @@
 	}
 }
 
-void ph_requests_target_gone(struct ph_core *core, uint64_t now_us,
+void ph_requests_target_lost(struct ph_core *core, uint64_t now_us,
 			     const char *addr)
 {
 	if (core->relay_count)
@@ -227,7 +227,7 @@
 static bool peer_reachable(const struct ph_core *core,
 			   const struct ph_peer *peer, uint64_t now_us)
 {
-	return peer && peer->life == PH_ALIVE && peer->heard_us &&
+	return peer && peer->liveness == PH_ALIVE && peer->heard_us &&
 	       !ph_peer_silent(core, peer, now_us);
 }
 
@@ -238,7 +238,7 @@
 				  const struct ph_peer *primary, int backup,
 				  const struct ph_roster_member **target)
 {
-	bool dead = primary && primary->life != PH_ALIVE;
+	bool dead = primary && primary->liveness != PH_ALIVE;
 	const struct ph_roster_member *m;
 
 	if (backup < 0 || !primary)
@@ -384,7 +384,7 @@
 		return true;
 	partner = ph_peer_by_incarnation(
 		core, core->roster.members[other].incarnation);
-	return partner && partner->life != PH_DEAD_UNACCOUNTED;
+	return partner && partner->liveness != PH_DEAD_UNACCOUNTED;
 }
 
 static uint64_t digest_of(const struct ph_request *q)
@@ -406,7 +406,7 @@
 	job->digest = digest_of(q);
 	job->first_attempt = q->attempt == 1;
 	job->accepted_here = true;
-	job->live->fresh = core->roster.version;
+	job->live->complete_version = core->roster.version;
 	job->live->spec = spec;
 	job->live->body = ph_memdup(core->mem, q->body, q->body_len);
 	job->live->body_len = q->body_len;
@@ -466,7 +466,7 @@
 	/* The backup gets the record of a job that can't start now, too. */
 	if (!job->live->enqueued || core->stopping)
 		ph_replicate(core, now_us, job, true);
-	ph_dispatch_pump(core, now_us);
+	ph_dispatch_start_queued(core, now_us);
 }
 
 /* Records the id as cancelled, so that a later submit of it starts nothing. */
@@ -480,7 +480,7 @@
 	job = ph_ledger_add(&core->ledger, now_us, key, h->request.service, 0);
 	job->cancelled = true;
 	job->accepted_here = true;
-	job->live->fresh = core->roster.version;
+	job->live->complete_version = core->roster.version;
 	job->live->deadline_us = now_us;
 	ph_job_add_waiter(&core->ledger, job, &h->origin);
 	ph_dispatch_finish(core, now_us, job);
@@ -544,7 +544,7 @@
 	 * incarnation held the id: it may have been served already and no
 	 * longer counts as a first attempt. */
 	if (q->type == PH_REQUEST_SUBMIT &&
-	    (h->version < core->roster.broken ||
+	    (h->version < core->roster.continuity_version ||
 	     held_by_earlier_ledger(core, ph_hash_str(key), now_us)))
 		q->attempt = 0;
 	if (!core->active || core->retiring)
--- a/src/ledger.c
+++ b/src/ledger.c
@@ -304,11 +304,11 @@
 		if (live->tasks[i].state != PH_TASK_DONE)
 			complete = false;
 		if (live->tasks[i].state == PH_TASK_NOT_RUN)
-			job->gated = true;
+			job->answer_awaits_backup = true;
 		json_array_append_new(tasks, task_json(&live->tasks[i]));
 	}
 	if (job->cancelled && !live->task_count)
-		job->gated = true;
+		job->answer_awaits_backup = true;
 	if (job->cancelled && !live->task_count)
 		complete = false;
 	doc = json_pack("{s:s,s:s,s:s,s:b,s:o}", "id", id, "service",
@@ -351,7 +351,7 @@
 	job->answer = NULL;
 	job->answer_len = 0;
 	job->ended = false;
-	job->gated = false;
+	job->answer_awaits_backup = false;
 	job->holders = 0;
 	for (i = 0; i < live->task_count; i++)
 		if (live->tasks[i].state == PH_TASK_NOT_RUN)
@@ -384,7 +384,7 @@
 	r->service = live ? live->service : "-";
 	r->digest = job->digest;
 	r->first_attempt = job->first_attempt;
-	r->known = job->known;
+	r->starts_accounted_for = job->starts_accounted_for;
 	r->cancelled = job->cancelled;
 	r->tasks = tasks;
 	r->ended = !live;
@@ -393,7 +393,7 @@
 		r->answer_len = job->answer_len;
 		return;
 	}
-	r->fresh = live->fresh;
+	r->complete_version = live->complete_version;
 	r->task_count = live->task_count;
 	if (live->deadline_us > now_us)
 		r->remaining_us = live->deadline_us - now_us;
@@ -529,16 +529,16 @@
 }
 
 size_t ph_ledger_expire(struct ph_ledger *ledger, uint64_t now_us,
-			uint64_t remember_us)
+			uint64_t retention_us)
 {
 	size_t count = 0;
 
 	while (ledger->ended_head) {
 		struct ph_job *job = ledger->ended_head;
 
-		if (now_us < job->ended_us + remember_us)
+		if (now_us < job->ended_us + retention_us)
 			break;
-		if (job->refs || job->dirty || job->in_flight)
+		if (job->running_refs || job->dirty || job->in_flight)
 			break;
 		ledger->ended_head = job->ended_next;
 		if (ledger->oldest_answered == job)
--- a/src/ledger.h
+++ b/src/ledger.h
@@ -59,7 +59,7 @@
 	uint64_t accepted_us;
 	uint64_t deadline_us;
 	/** The state of the job here is complete as of this roster version. */
-	uint64_t fresh;
+	uint64_t complete_version;
 	/** Number of the first message with the job's record; 0: none sent. */
 	uint64_t first_seq;
 	struct ph_waiter *waiters;
@@ -92,20 +92,20 @@
 	/** Likewise, peers that have not acknowledged a sent record yet. */
 	uint16_t in_flight;
 	/** Likewise, peers that have the job's body. */
-	uint16_t seen;
+	uint16_t has_body;
 	/** Number of tasks running here that point at this job. */
-	uint16_t refs;
+	uint16_t running_refs;
 	/** The request said that its id was never sent before. */
 	bool first_attempt : 1;
 	/** Accepted here from a caller or relay, not received as a record. */
 	bool accepted_here : 1;
 	/** No removed member can have started the job. */
-	bool known : 1;
+	bool starts_accounted_for : 1;
 	bool cancelled : 1;
 	bool ended : 1;
 	/** The answer has a not-run that the backup must record before the
 	 * answer is sent. */
-	bool gated : 1;
+	bool answer_awaits_backup : 1;
 	/** TEAM/ID */
 	char key[];
 };
@@ -213,9 +213,10 @@
 			   bool trusted, void (*release)(void *ctx, void *slot),
 			   void *ctx);
 
-/** Removes jobs that ended remember_us ago or earlier; returns their number. */
+/** Removes jobs that ended retention_us ago or earlier; returns their number.
+ */
 size_t ph_ledger_expire(struct ph_ledger *ledger, uint64_t now_us,
-			uint64_t remember_us);
+			uint64_t retention_us);
 
 /**
  * Drops the oldest answers, but not their jobs, until the rest takes at most
@@ -227,7 +228,7 @@
 size_t ph_job_ended_bytes(const struct ph_job *job);
 
 /** Iterates over the live jobs; the body must not free their live parts. */
-#define ph_list_for(job, ledger)                                               \
+#define ph_ledger_for_each_live(job, ledger)                                   \
 	for ((job) = (ledger)->live_head; (job) != NULL;                       \
 	     (job) = (job)->live->live_next)
 
--- a/src/msg.c
+++ b/src/msg.c
@@ -58,11 +58,11 @@
 	pack_str(pk, r->service);
 	msgpack_pack_uint64(pk, r->digest);
 	pack_bool(pk, r->first_attempt);
-	pack_bool(pk, r->known);
+	pack_bool(pk, r->starts_accounted_for);
 	pack_bool(pk, r->cancelled);
 	pack_bool(pk, r->ended);
 	msgpack_pack_uint32(pk, r->task_count);
-	msgpack_pack_uint64(pk, r->fresh);
+	msgpack_pack_uint64(pk, r->complete_version);
 	msgpack_pack_uint64(pk, r->remaining_us);
 	pack_bytes(pk, r->body, r->body_len);
 	pack_bytes(pk, r->answer, r->answer_len);
@@ -302,11 +302,11 @@
 	rec->service = get_str(&r);
 	rec->digest = get_uint(&r, UINT64_MAX);
 	rec->first_attempt = get_bool(&r);
-	rec->known = get_bool(&r);
+	rec->starts_accounted_for = get_bool(&r);
 	rec->cancelled = get_bool(&r);
 	rec->ended = get_bool(&r);
 	rec->task_count = (uint32_t)get_uint(&r, PH_MAX_TASKS);
-	rec->fresh = get_uint(&r, UINT64_MAX);
+	rec->complete_version = get_uint(&r, UINT64_MAX);
 	rec->remaining_us = get_uint(&r, UINT64_MAX);
 	rec->body = get_bytes(&r, &rec->body_len);
 	rec->answer = get_bytes(&r, &rec->answer_len);
--- a/src/msg.h
+++ b/src/msg.h
@@ -75,12 +75,12 @@
 	uint64_t digest;
 	bool first_attempt;
 	/** No removed member can have started the job. */
-	bool known;
+	bool starts_accounted_for;
 	bool cancelled;
 	bool ended;
 	uint32_t task_count;
 	/** Roster version as of which the sender's state is complete. */
-	uint64_t fresh;
+	uint64_t complete_version;
 	/** Time left until the job's deadline. */
 	uint64_t remaining_us;
 	/** The job document; NULL if the receiver has it already. */
--- a/src/roster.c
+++ b/src/roster.c
@@ -27,8 +27,8 @@
 			lost, json_integer((json_int_t)roster->lost[i]));
 	doc = json_pack("{s:s,s:I,s:I,s:o,s:o}", "domain", roster->domain,
 			"version", (json_int_t)roster->version, "broken",
-			(json_int_t)roster->broken, "members", members, "lost",
-			lost);
+			(json_int_t)roster->continuity_version, "members",
+			members, "lost", lost);
 	text = json_dumps(doc, JSON_COMPACT);
 	ph_buf_puts(out, text);
 	free(text);
@@ -83,7 +83,7 @@
 	json_t *doc = json_loadb(text, len, 0, NULL);
 	const char *domain;
 	json_int_t version;
-	json_int_t broken;
+	json_int_t continuity_version;
 	json_t *members;
 	json_t *lost;
 	int err = PH_ERR_SYNTAX;
@@ -92,12 +92,12 @@
 	if (!doc)
 		return PH_ERR_SYNTAX;
 	if (json_unpack(doc, "{s:s,s:I,s:I,s:o,s:o}", "domain", &domain,
-			"version", &version, "broken", &broken, "members",
-			&members, "lost", &lost))
+			"version", &version, "broken", &continuity_version,
+			"members", &members, "lost", &lost))
 		goto out;
-	if (version < 1 || broken < 0)
+	if (version < 1 || continuity_version < 0)
 		goto out;
-	roster->broken = (uint64_t)broken;
+	roster->continuity_version = (uint64_t)continuity_version;
 	ph_strcopy(roster->domain, sizeof(roster->domain), domain);
 	roster->version = (uint64_t)version;
 	err = decode_members(roster, members);
--- a/src/roster.h
+++ b/src/roster.h
@@ -35,7 +35,7 @@
 	 * all members were replaced. Records that are complete only as of an
 	 * earlier version permit no start. 0: there was no such change.
 	 */
-	uint64_t broken;
+	uint64_t continuity_version;
 	size_t count;
 	struct ph_roster_member members[PH_MAX_MEMBERS];
 	/** Incarnations of removed members that may have started tasks which
--- a/test/sim.cc
+++ b/test/sim.cc
@@ -330,7 +330,7 @@
 	o.ping_every_us = 100 * kMs;
 	o.suspect_after_us = 400 * kMs;
 	o.solo_after_us = 800 * kMs;
-	o.remember_us = kRememberUs;
+	o.retention_us = kRememberUs;
 	o.hold_us = 900 * kMs;
 	o.answer_bytes_max = opt.answer_bytes_max;
 	o.queue_policy = &ph_queue_fair;
--- a/test/test_ledger.cc
+++ b/test/test_ledger.cc
@@ -259,13 +259,13 @@
 
 	snprintf(roster.domain, sizeof(roster.domain), "a");
 	roster.version = 9;
-	roster.broken = 4;
+	roster.continuity_version = 4;
 	roster.lost[roster.lost_count++] = 77;
 	ph_buf_init(&buf, ph_mem_default());
 	ph_roster_encode(&roster, &buf);
 	EXPECT_EQ(ph_roster_decode(&back, buf.data, buf.len), 0);
 	EXPECT_EQ(back.version, 9u);
-	EXPECT_EQ(back.broken, 4u);
+	EXPECT_EQ(back.continuity_version, 4u);
 	EXPECT_TRUE(ph_roster_is_lost(&back, 77));
 	ph_buf_free(&buf);
 	for (const char *text : bad)
