--- a/bench/cluster_bench.c
+++ b/bench/cluster_bench.c
@@ -64,7 +64,7 @@
 	.release = on_name,
 	.send_heartbeat = on_send_heartbeat,
 	.reset_link = on_name,
-	.lost = on_name,
+	.member_lost = on_name,
 };
 
 static uint32_t pool_count_for(uint32_t peers)
@@ -94,7 +94,7 @@
 	if (i >= pools)
 		return;
 	m->claim_count = 1;
-	ph_pool_shard_name(m->domain, i / DOMAIN_COUNT, m->claims[0].domain);
+	ph_pool_shard_name(m->domain, i / DOMAIN_COUNT, m->claims[0].pool_name);
 	m->claims[0].token = 1000 + i;
 	m->claims[0].load.usable = EXECUTORS_PER_POOL;
 }
@@ -119,7 +119,7 @@
 		struct ph_poolmsg m;
 
 		make_heartbeat(i, peers, pool_count_for(peers), &m);
-		ph_cluster_add_pools(w->cluster, &m.claims[0].domain, 1);
+		ph_cluster_add_pools(w->cluster, &m.claims[0].pool_name, 1);
 	}
 	for (i = 0; i < peers; i++) {
 		struct ph_poolmsg m;
--- a/src/cluster.h
+++ b/src/cluster.h
@@ -64,7 +64,7 @@
 	bool leaving;
 	/** A connection was refused since the last heartbeat received. */
 	bool connection_refused;
-	/** The sink's lost() has been called for this outage. */
+	/** The sink's member_lost() has been called for this outage. */
 	bool loss_reported;
 	/** A new incarnation was heard before the loss of the earlier one was
 	 * reported; the next tick reports it. */
@@ -129,7 +129,7 @@
 	/** Close the connection to a peer and open a new one. */
 	void (*reset_link)(void *ctx, const char *addr);
 	/** A peer timed out, refused a connection or has restarted. */
-	void (*lost)(void *ctx, const char *name);
+	void (*member_lost)(void *ctx, const char *name);
 };
 
 struct ph_cluster *ph_cluster_new(const struct ph_cluster_options *options);
--- a/src/cluster_heartbeat.c
+++ b/src/cluster_heartbeat.c
@@ -112,7 +112,7 @@
 		}
 		if (m->restarted) {
 			m->restarted = false;
-			sink->lost(ctx, m->name);
+			sink->member_lost(ctx, m->name);
 		}
 		if (!m->loss_reported && !ph_member_alive(cluster, m, now_us)) {
 			m->loss_reported = true;
@@ -120,7 +120,7 @@
 				 "event=member_lost member=%s silent_us=%llu",
 				 m->name,
 				 (unsigned long long)(now_us - m->heard_us));
-			sink->lost(ctx, m->name);
+			sink->member_lost(ctx, m->name);
 		}
 		if (ph_member_alive(cluster, m, now_us) &&
 		    link_failed(cluster, m, now_us) &&
--- a/src/cluster_ownership.c
+++ b/src/cluster_ownership.c
@@ -73,12 +73,12 @@
 }
 
 static const struct ph_claim *claim_of(const struct ph_member *m,
-				       const char *domain)
+				       const char *pool_name)
 {
 	uint32_t i;
 
 	for (i = 0; i < m->claim_count; i++)
-		if (!strcmp(m->claims[i].domain, domain))
+		if (!strcmp(m->claims[i].pool_name, pool_name))
 			return &m->claims[i];
 	return NULL;
 }
@@ -145,7 +145,7 @@
 
 	for (i = 0; i < m->claim_count; i++) {
 		const struct ph_pool_claim *p =
-			claim_find(cluster, m->claims[i].domain);
+			claim_find(cluster, m->claims[i].pool_name);
 
 		m->claimed_pool[i] =
 			p ? (uint32_t)(p - cluster->pools) : UINT32_MAX;
@@ -164,8 +164,8 @@
 		if (m->claimed_pool[i] == UINT32_MAX ||
 		    m->claims[i].token != heartbeat->claims[i].token ||
 		    m->claims[i].offered != heartbeat->claims[i].offered ||
-		    strcmp(m->claims[i].domain, heartbeat->claims[i].domain) !=
-			    0)
+		    strcmp(m->claims[i].pool_name,
+			   heartbeat->claims[i].pool_name) != 0)
 			return false;
 	return true;
 }
--- a/src/dispatcher_executors.c
+++ b/src/dispatcher_executors.c
@@ -69,7 +69,7 @@
 				  : 0;
 	}
 	for (k = 0; k < d->pool_count; k++) {
-		const char *pool = d->pools[k].domain;
+		const char *pool = d->pools[k].name;
 		uint32_t number = ph_pool_shard_number(pool);
 		size_t m = 0;
 
--- a/src/dispatcher_impl.h
+++ b/src/dispatcher_impl.h
@@ -18,7 +18,7 @@
 /** The pool of one shard of a failure domain; this instance may own it. */
 struct ph_dispatcher_pool {
 	/** Name of the shard, which for shard 0 is that of the domain. */
-	char domain[PH_NAME_BYTES];
+	char name[PH_NAME_BYTES];
 	struct ph_pool *pool;
 };
 
--- a/src/dispatcher_jobs.c
+++ b/src/dispatcher_jobs.c
@@ -18,11 +18,11 @@
 	ph_dispatcher_send(ctx, owner->addr, &copy);
 }
 
-static void sink_own_load(void *ctx, const char *domain,
+static void sink_own_load(void *ctx, const char *pool_name,
 			  struct ph_pool_load *load)
 {
 	struct ph_dispatcher *d = ctx;
-	struct ph_dispatcher_pool *p = ph_dispatcher_pool(d, domain);
+	struct ph_dispatcher_pool *p = ph_dispatcher_pool(d, pool_name);
 
 	memset(load, 0, sizeof(*load));
 	if (p)
--- a/src/dispatcher_peers.c
+++ b/src/dispatcher_peers.c
@@ -22,8 +22,9 @@
 	struct ph_local_message *l = d->mem->calloc(1, sizeof(*l));
 
 	l->msg = *msg;
-	if (msg->work)
-		l->msg.work = ph_batch_request_copy(d->mem, msg->work);
+	if (msg->batch_request)
+		l->msg.batch_request =
+			ph_batch_request_copy(d->mem, msg->batch_request);
 	if (d->local_tail)
 		d->local_tail->next = l;
 	else
@@ -206,7 +207,7 @@
 	uint32_t i;
 
 	for (i = 0; i < batch->count; i++)
-		batch->where[i] = PH_EXECUTOR_UNKNOWN;
+		batch->possible_executor[i] = PH_EXECUTOR_UNKNOWN;
 }
 
 static void handle_submit(struct ph_dispatcher *d, struct ph_poolmsg *msg,
@@ -215,11 +216,11 @@
 	struct ph_poolmsg reply = { .type = PH_POOLMSG_ACCEPTED,
 				    .seq = msg->seq };
 	struct ph_dispatcher_pool *p = ph_dispatcher_pool(d, msg->pool);
-	struct ph_batch_request *batch = msg->work;
+	struct ph_batch_request *batch = msg->batch_request;
 	struct ph_result moved = { .verdict = PH_VERDICT_MOVED,
 				   .reason = "no such pool here" };
 
-	msg->work = NULL;
+	msg->batch_request = NULL;
 	ph_cluster_add_contact(d->cluster, msg->addr);
 	ph_dispatcher_send(d, msg->addr, &reply);
 	if (find_result(d, msg->name, msg->seq)) {
@@ -235,7 +236,8 @@
 	}
 	if (!p) {
 		memcpy(moved.done, batch->done, sizeof(moved.done));
-		memcpy(moved.where, batch->where, sizeof(moved.where));
+		memcpy(moved.possible_executor, batch->possible_executor,
+		       sizeof(moved.possible_executor));
 		moved.count = batch->count;
 		ph_batch_request_free(d->mem, batch);
 		ph_dispatcher_send_result(d, msg->name, msg->seq, &moved);
@@ -321,7 +323,7 @@
 		if (!d->local_head)
 			d->local_tail = NULL;
 		ph_dispatcher_message(d, &l->msg, ph_clock_us());
-		ph_batch_request_free(d->mem, l->msg.work);
+		ph_batch_request_free(d->mem, l->msg.batch_request);
 		d->mem->free(l);
 	}
 }
--- a/src/dispatcher_pools.c
+++ b/src/dispatcher_pools.c
@@ -39,23 +39,23 @@
 };
 
 struct ph_dispatcher_pool *ph_dispatcher_pool(struct ph_dispatcher *d,
-					      const char *domain)
+					      const char *pool_name)
 {
 	size_t i;
 
 	for (i = 0; i < d->pool_count; i++)
-		if (!strcmp(d->pools[i].domain, domain))
+		if (!strcmp(d->pools[i].name, pool_name))
 			return &d->pools[i];
 	return NULL;
 }
 
 /* Creates a pool. The upper bits of its call ids are its index. */
-static void pool_add(struct ph_dispatcher *d, const char *domain)
+static void pool_add(struct ph_dispatcher *d, const char *pool_name)
 {
 	struct ph_dispatcher_pool *p;
 	struct ph_pool_options options = {
 		.mem = d->mem,
-		.domain = domain,
+		.name = pool_name,
 		.policy = &ph_scheduling_slack,
 		.lease_us = d->settings.lease_us,
 		.stop_us = d->settings.stop_us,
@@ -67,7 +67,7 @@
 	d->pools = ph_array_grow(d->mem, d->pools, d->pool_count,
 				 sizeof(*d->pools));
 	p = &d->pools[d->pool_count];
-	ph_strcopy(p->domain, sizeof(p->domain), domain);
+	ph_strcopy(p->name, sizeof(p->name), pool_name);
 	p->pool = ph_pool_new(&options);
 	d->pool_count++;
 }
@@ -84,7 +84,7 @@
 {
 	if (ph_pool_owned(p->pool) && ph_pool_fenced(p->pool))
 		ph_cluster_fenced(d->cluster, now_us, ph_clock_unix_ms(),
-				  p->domain, &ph_dispatcher_cluster_sink, d);
+				  p->name, &ph_dispatcher_cluster_sink, d);
 }
 
 void ph_dispatcher_poll_done(struct ph_dispatcher *d, uint64_t now_us,
@@ -140,7 +140,7 @@
 		ph_pool_shard_name(domain->name, domain->shards++, name);
 		pool_add(d, name);
 		ph_cluster_add_pools(d->cluster,
-				     &d->pools[d->pool_count - 1].domain, 1);
+				     &d->pools[d->pool_count - 1].name, 1);
 	}
 }
 
@@ -151,20 +151,20 @@
 
 /* ## Cluster callbacks */
 
-static void sink_acquire(void *ctx, const char *domain, uint64_t token)
+static void sink_acquire(void *ctx, const char *pool_name, uint64_t token)
 {
 	struct ph_dispatcher *d = ctx;
-	struct ph_dispatcher_pool *p = ph_dispatcher_pool(d, domain);
+	struct ph_dispatcher_pool *p = ph_dispatcher_pool(d, pool_name);
 
 	if (p)
 		ph_pool_acquire(p->pool, ph_clock_us(), token);
 	ph_dispatcher_heartbeat_soon(d, PH_HEARTBEAT_ALL);
 }
 
-static void sink_release(void *ctx, const char *domain)
+static void sink_release(void *ctx, const char *pool_name)
 {
 	struct ph_dispatcher *d = ctx;
-	struct ph_dispatcher_pool *p = ph_dispatcher_pool(d, domain);
+	struct ph_dispatcher_pool *p = ph_dispatcher_pool(d, pool_name);
 
 	if (p)
 		ph_pool_release(p->pool, ph_clock_us());
@@ -206,10 +206,11 @@
 		if (msg->claim_count == PH_CLAIMS_MAX ||
 		    !ph_pool_owned(d->pools[i].pool))
 			continue;
-		ph_strcopy(c->domain, sizeof(c->domain), d->pools[i].domain);
+		ph_strcopy(c->pool_name, sizeof(c->pool_name),
+			   d->pools[i].name);
 		c->token = ph_pool_token(d->pools[i].pool);
 		c->offered = ph_cluster_pool_offered(d->cluster, now_us,
-						     d->pools[i].domain);
+						     d->pools[i].name);
 		ph_pool_measure(d->pools[i].pool, now_us, &c->load);
 		msg->claim_count++;
 	}
@@ -241,5 +242,5 @@
 	.release = sink_release,
 	.send_heartbeat = sink_send_heartbeat,
 	.reset_link = sink_reset_link,
-	.lost = sink_member_lost,
+	.member_lost = sink_member_lost,
 };
--- a/src/dispatcher_report.c
+++ b/src/dispatcher_report.c
@@ -29,15 +29,15 @@
 		{ "lapsed_runs_total", c->expired_runs },
 		{ "moved_runs_total", c->moved_runs },
 		{ "strays_stopped_total", c->orphans_stopped },
-		{ "adopted_runs_total", c->adopted },
-		{ "looks_total", c->looks },
+		{ "adopted_runs_total", c->claimed_runs },
+		{ "looks_total", c->polls },
 	};
 	size_t i;
 
 	ph_pool_measure(p->pool, now_us, &load);
 	for (i = 0; i < sizeof(rows) / sizeof(rows[0]); i++)
 		ph_buf_printf(out, "peridothall_pool_%s{domain=\"%s\"} %llu\n",
-			      rows[i].name, p->domain,
+			      rows[i].name, p->name,
 			      (unsigned long long)rows[i].value);
 	ph_buf_printf(out,
 		      "peridothall_pool_owned{domain=\"%s\"} %d\n"
@@ -45,9 +45,9 @@
 		      "peridothall_pool_usable{domain=\"%s\"} %u\n"
 		      "peridothall_pool_free_millicores{domain=\"%s\"} %u\n"
 		      "peridothall_pool_batches{domain=\"%s\"} %u\n",
-		      p->domain, ph_pool_owned(p->pool), p->domain,
-		      load.executors, p->domain, load.usable, p->domain,
-		      load.free_milli, p->domain, load.batches);
+		      p->name, ph_pool_owned(p->pool), p->name, load.executors,
+		      p->name, load.usable, p->name, load.free_milli, p->name,
+		      load.batches);
 }
 
 void ph_dispatcher_metrics(struct ph_dispatcher *d, uint64_t now_us,
@@ -107,7 +107,7 @@
 		ph_event(PART,
 			 "event=dump_pool domain=%s owned=%d executors=%u "
 			 "usable=%u free_milli=%u batches=%u",
-			 d->pools[i].domain, ph_pool_owned(d->pools[i].pool),
+			 d->pools[i].name, ph_pool_owned(d->pools[i].pool),
 			 load.executors, load.usable, load.free_milli,
 			 load.batches);
 	}
--- a/src/pool.c
+++ b/src/pool.c
@@ -33,8 +33,8 @@
 	struct ph_pool *pool = options->mem->calloc(1, sizeof(*pool));
 
 	pool->opt = *options;
-	ph_strcopy(pool->domain, sizeof(pool->domain), options->domain);
-	pool->opt.domain = pool->domain;
+	ph_strcopy(pool->name, sizeof(pool->name), options->name);
+	pool->opt.name = pool->name;
 	pool->mem = options->mem;
 	pool->last_call = options->first_call;
 	return pool;
@@ -113,11 +113,11 @@
 
 /* Hash of the executor that may be running a task; what an earlier owner
  * reported if there is no run here. */
-static uint32_t task_where(const struct ph_batch *b, uint32_t index)
+static uint32_t task_possible_executor(const struct ph_batch *b, uint32_t index)
 {
 	if (b->tasks[index].state == PH_BATCH_TASK_PLACED)
 		return ph_executor_hash(b->tasks[index].run->executor->info.id);
-	return b->request->resumed ? b->request->where[index]
+	return b->request->resumed ? b->request->possible_executor[index]
 				   : PH_EXECUTOR_NONE;
 }
 
@@ -134,7 +134,8 @@
 		if (b->tasks[i].state == PH_BATCH_TASK_DONE)
 			ph_bit_set(result.done, i);
 	for (i = 0; verdict == PH_VERDICT_MOVED && i < b->request->count; i++)
-		result.where[result.count++] = task_where(b, i);
+		result.possible_executor[result.count++] =
+			task_possible_executor(b, i);
 	ph_event(PART,
 		 "event=batch_end job=%s verdict=%s reason=\"%s\" tasks=%u "
 		 "tasks_left=%u since_received_us=%llu target_us=%llu "
@@ -230,9 +231,9 @@
 	if (task->next_run <= run->run)
 		task->next_run = run->run + 1;
 	b->waiting--;
-	b->request->where[run->index] = PH_EXECUTOR_NONE;
+	b->request->possible_executor[run->index] = PH_EXECUTOR_NONE;
 	b->started = true;
-	pool->counters.adopted++;
+	pool->counters.claimed_runs++;
 }
 
 /* Lets a resumed batch claim the runs that an earlier owner started, and the
@@ -499,7 +500,7 @@
 	struct ph_executor *x;
 
 	ph_event(PART, "event=pool_acquired domain=%s token=%llu was_owner=%d",
-		 pool->opt.domain, (unsigned long long)token, pool->owned);
+		 pool->opt.name, (unsigned long long)token, pool->owned);
 	pool->token = token;
 	pool->fenced = false;
 	pool->dirty = true;
@@ -520,7 +521,7 @@
 	if (!pool->owned)
 		return;
 	ph_event(PART, "event=pool_released domain=%s token=%llu",
-		 pool->opt.domain, (unsigned long long)pool->token);
+		 pool->opt.name, (unsigned long long)pool->token);
 	pool->owned = false;
 	while (pool->batches) {
 		struct ph_batch *b = pool->batches;
--- a/src/pool.h
+++ b/src/pool.h
@@ -44,7 +44,7 @@
 
 struct ph_pool_options {
 	const struct ph_mem *mem;
-	const char *domain;
+	const char *name;
 	const struct ph_scheduling_policy *policy;
 	/** Duration of run leases; at most what executors grant. */
 	uint64_t lease_us;
@@ -141,9 +141,9 @@
 	/** Orphaned runs that no batch claimed in time. */
 	uint64_t orphans_stopped;
 	/** Orphaned runs that resumed batches claimed. */
-	uint64_t adopted;
+	uint64_t claimed_runs;
 	/** Polls sent. */
-	uint64_t looks;
+	uint64_t polls;
 };
 
 const struct ph_pool_counters *ph_pool_counters(const struct ph_pool *pool);
--- a/src/pool_impl.h
+++ b/src/pool_impl.h
@@ -176,7 +176,7 @@
 struct ph_pool {
 	struct ph_pool_options opt;
 	const struct ph_mem *mem;
-	char domain[PH_NAME_BYTES];
+	char name[PH_NAME_BYTES];
 	bool owned;
 	bool fenced;
 	uint64_t token;
--- a/src/pool_lease.c
+++ b/src/pool_lease.c
@@ -268,7 +268,7 @@
 	task->run = run;
 	task->state = PH_BATCH_TASK_PLACED;
 	batch->waiting--;
-	batch->request->where[index] = PH_EXECUTOR_NONE;
+	batch->request->possible_executor[index] = PH_EXECUTOR_NONE;
 	batch->started = true;
 	pool->counters.starts++;
 	command_init(pool, x, run, &command);
--- a/src/pool_placement.c
+++ b/src/pool_placement.c
@@ -122,7 +122,7 @@
 		ph_event(PART,
 			 "event=call_loss_%s pool=%s executors_with_loss=%u "
 			 "executors_reachable=%u",
-			 widespread ? "widespread" : "local", pool->opt.domain,
+			 widespread ? "widespread" : "local", pool->opt.name,
 			 losing, all);
 	pool->widespread_loss = widespread;
 }
@@ -209,12 +209,12 @@
 	return true;
 }
 
-static bool executor_polled(const struct ph_pool *pool, uint32_t where)
+static bool executor_polled(const struct ph_pool *pool, uint32_t executor)
 {
 	const struct ph_executor *x;
 
 	for (x = pool->executors; x; x = x->next)
-		if (x->polled && ph_executor_hash(x->info.id) == where)
+		if (x->polled && ph_executor_hash(x->info.id) == executor)
 			return true;
 	return false;
 }
@@ -225,13 +225,14 @@
 			     const struct ph_batch *b, uint32_t index,
 			     uint64_t now_us)
 {
-	uint32_t where = b->request->where[index];
+	uint32_t executor = b->request->possible_executor[index];
 
-	if (!b->request->resumed || where == PH_EXECUTOR_NONE ||
+	if (!b->request->resumed || executor == PH_EXECUTOR_NONE ||
 	    now_us >= orphans_expired_us(pool, b))
 		return true;
-	return where == PH_EXECUTOR_UNKNOWN ? all_polled(pool)
-					    : executor_polled(pool, where);
+	return executor == PH_EXECUTOR_UNKNOWN
+		       ? all_polled(pool)
+		       : executor_polled(pool, executor);
 }
 
 /* True if a run of the task is left, from an earlier submission of the job or
--- a/src/pool_poll.c
+++ b/src/pool_poll.c
@@ -62,7 +62,7 @@
 			       (pool->short_polls ? SHORT_POLL_WAIT_DIVISOR
 						  : POLL_WAIT_DIVISOR);
 	}
-	pool->counters.looks++;
+	pool->counters.polls++;
 	pool->opt.sink->poll(pool->opt.ctx, &poll);
 }
 
@@ -78,7 +78,7 @@
 		pool->lost_polls_permille > SHORT_POLL_LOST_PERMILLE;
 	if (pool->short_polls != before)
 		ph_event(PART, "event=polls_%s pool=%s lost_polls_permille=%u",
-			 before ? "long" : "short", pool->opt.domain,
+			 before ? "long" : "short", pool->opt.name,
 			 pool->lost_polls_permille);
 }
 
--- a/src/pool_types.h
+++ b/src/pool_types.h
@@ -75,7 +75,7 @@
 	uint8_t done[(PH_MAX_TASKS + 7) / 8];
 	/** If resumed: hash of the executor that may be running each task, or
 	 * one of the special values. */
-	uint32_t where[PH_MAX_TASKS];
+	uint32_t possible_executor[PH_MAX_TASKS];
 };
 
 /** An answer that takes more than this many latency targets is of no use to
@@ -135,11 +135,12 @@
 	const char *reason;
 	/** Bit set of the tasks that have succeeded. */
 	uint8_t done[(PH_MAX_TASKS + 7) / 8];
-	/** With PH_VERDICT_MOVED: number of entries in where. */
+	/** With PH_VERDICT_MOVED: number of entries in
+	 * possible_executor. */
 	uint32_t count;
 	/** For each task, hash of the executor that may be running it, or one
 	 * of the special values. */
-	uint32_t where[PH_MAX_TASKS];
+	uint32_t possible_executor[PH_MAX_TASKS];
 };
 
 /** An executor as listed by the platform. */
--- a/src/poolmsg.c
+++ b/src/poolmsg.c
@@ -46,7 +46,7 @@
 
 static void put_claim(msgpack_packer *pk, const struct ph_claim *c)
 {
-	put_str(pk, c->domain);
+	put_str(pk, c->pool_name);
 	msgpack_pack_uint64(pk, c->token);
 	msgpack_pack_uint32(pk, c->offered);
 	msgpack_pack_uint32(pk, c->load.executors);
@@ -96,7 +96,7 @@
 	msgpack_pack_uint64(pk, w->first_run);
 	msgpack_pack_uint32(pk, w->resumed);
 	put_bytes(pk, w->done, sizeof(w->done));
-	put_executor_ids(pk, w->where, w->resumed ? w->count : 0);
+	put_executor_ids(pk, w->possible_executor, w->resumed ? w->count : 0);
 }
 
 static void put_result(msgpack_packer *pk, const struct ph_result *r)
@@ -105,7 +105,7 @@
 	msgpack_pack_uint64(pk, r->retry_after_us);
 	put_str(pk, r->reason ? r->reason : "");
 	put_bytes(pk, r->done, sizeof(r->done));
-	put_executor_ids(pk, r->where, r->count);
+	put_executor_ids(pk, r->possible_executor, r->count);
 }
 
 static void put_executor(msgpack_packer *pk, const struct ph_executor_info *x)
@@ -168,7 +168,7 @@
 		msgpack_pack_uint64(pk, m->seq);
 		put_str(pk, m->pool);
 		msgpack_pack_uint64(pk, m->owner_incarnation);
-		put_batch_request(pk, m->work);
+		put_batch_request(pk, m->batch_request);
 		break;
 	case PH_POOLMSG_RESULT:
 		msgpack_pack_uint64(pk, m->seq);
@@ -299,7 +299,7 @@
 
 static void get_claim(struct reader *r, struct ph_claim *c)
 {
-	get_str(r, c->domain, sizeof(c->domain));
+	get_str(r, c->pool_name, sizeof(c->pool_name));
 	c->token = get_u64(r);
 	c->offered = get_u32(r) != 0;
 	c->load.executors = get_u32(r);
@@ -352,7 +352,8 @@
 	w->first_run = get_u64(r);
 	w->resumed = get_u32(r) != 0;
 	get_bits(r, w->done, sizeof(w->done));
-	if (get_executor_ids(r, w->where) != (w->resumed ? w->count : 0) ||
+	if (get_executor_ids(r, w->possible_executor) !=
+		    (w->resumed ? w->count : 0) ||
 	    !w->count)
 		r->bad = true;
 }
@@ -364,7 +365,7 @@
 	get_str(r, m->reason_text, sizeof(m->reason_text));
 	m->result.reason = m->reason_text;
 	get_bits(r, m->result.done, sizeof(m->result.done));
-	m->result.count = get_executor_ids(r, m->result.where);
+	m->result.count = get_executor_ids(r, m->result.possible_executor);
 }
 
 static void get_executor(struct reader *r, struct ph_executor_info *x)
@@ -408,8 +409,8 @@
 		m->seq = get_u64(r);
 		get_str(r, m->pool, sizeof(m->pool));
 		m->owner_incarnation = get_u64(r);
-		m->work = mem->calloc(1, sizeof(*m->work));
-		get_batch_request(mem, r, m->work);
+		m->batch_request = mem->calloc(1, sizeof(*m->batch_request));
+		get_batch_request(mem, r, m->batch_request);
 		break;
 	case PH_POOLMSG_RESULT:
 		m->seq = get_u64(r);
@@ -473,10 +474,10 @@
 
 void ph_poolmsg_clear(const struct ph_mem *mem, struct ph_poolmsg *m)
 {
-	ph_batch_request_free(mem, m->work);
+	ph_batch_request_free(mem, m->batch_request);
 	mem->free(m->doc);
 	mem->free(m->change);
-	m->work = NULL;
+	m->batch_request = NULL;
 	m->doc = NULL;
 	m->change = NULL;
 }
--- a/src/poolmsg.h
+++ b/src/poolmsg.h
@@ -38,8 +38,7 @@
 
 /** Claim of ownership of one pool, by the sender of a heartbeat. */
 struct ph_claim {
-	/** Name of the pool. */
-	char domain[PH_NAME_BYTES];
+	char pool_name[PH_NAME_BYTES];
 	/** Fencing token. */
 	uint64_t token;
 	/** The sender releases the pool when another instance claims it. */
@@ -84,7 +83,7 @@
 	char pool[PH_NAME_BYTES];
 	uint64_t owner_incarnation;
 	/** SUBMIT: the batch request; owned by the message when decoded. */
-	struct ph_batch_request *work;
+	struct ph_batch_request *batch_request;
 	/** RESULT: when decoded, its reason points to reason_text. */
 	struct ph_result result;
 	char reason_text[PH_ADDR_BYTES];
--- a/src/submitter.c
+++ b/src/submitter.c
@@ -310,15 +310,15 @@
 /* Finds the owner of a pool with its load as estimated here; false if the pool
  * has no owner or no usable executor. */
 static bool owner_with_load(struct ph_submitter *s, uint32_t pool,
-			    const char *domain, uint64_t now_us,
+			    const char *pool_name, uint64_t now_us,
 			    struct ph_owner *o)
 {
-	if (!ph_cluster_owner(s->opt.cluster, now_us, domain, o))
+	if (!ph_cluster_owner(s->opt.cluster, now_us, pool_name, o))
 		return false;
 	if (o->self)
-		s->opt.sink->own_load(s->opt.ctx, domain, &o->load);
+		s->opt.sink->own_load(s->opt.ctx, pool_name, &o->load);
 	else
-		add_sent_load(s, pool, domain, o);
+		add_sent_load(s, pool, pool_name, o);
 	return o->load.usable;
 }
 
@@ -328,22 +328,23 @@
 			uint32_t *pool)
 {
 	struct ph_pool_candidate *c;
-	const char *domain;
+	const char *pool_name;
 	struct ph_owner o;
 	size_t n = 0;
 	uint32_t i;
 
-	for (i = 0; (domain = ph_cluster_pool_name(s->opt.cluster, i)); i++) {
+	for (i = 0; (pool_name = ph_cluster_pool_name(s->opt.cluster, i));
+	     i++) {
 		if (i == s->pool_count)
 			grow_pools(s);
 		if (was_tried(j, i) ||
-		    !owner_with_load(s, i, domain, now_us, &o))
+		    !owner_with_load(s, i, pool_name, now_us, &o))
 			continue;
 		c = &s->candidates[n++];
 		c->pool = i;
 		c->free_milli = o.load.free_milli;
 		c->capacity_milli = o.load.capacity_milli;
-		c->own_domain = ph_pool_shard_in(domain, s->opt.domain);
+		c->own_domain = ph_pool_shard_in(pool_name, s->opt.domain);
 		c->wait_us = s->opt.policy->wait_us(&o.load, c->own_domain,
 						    j->batch);
 	}
@@ -352,10 +353,10 @@
 	i = s->candidates[s->opt.policy->pick(s->candidates, n,
 					      ph_hash_str(j->batch->job))]
 		    .pool;
-	domain = ph_cluster_pool_name(s->opt.cluster, i);
-	if (!owner_with_load(s, i, domain, now_us, &j->owner))
+	pool_name = ph_cluster_pool_name(s->opt.cluster, i);
+	if (!owner_with_load(s, i, pool_name, now_us, &j->owner))
 		return false;
-	ph_strcopy(j->pool, sizeof(j->pool), domain);
+	ph_strcopy(j->pool, sizeof(j->pool), pool_name);
 	*pool = i;
 	return true;
 }
@@ -369,7 +370,7 @@
 	ph_strcopy(m.pool, sizeof(m.pool), j->pool);
 	m.owner_incarnation = j->owner.incarnation;
 	j->batch->age_us = now_us - j->arrived_us;
-	m.work = j->batch;
+	m.batch_request = j->batch;
 	j->sent_us = now_us;
 	s->opt.sink->send(s->opt.ctx, &j->owner, &m);
 }
@@ -577,9 +578,10 @@
 	uint32_t i;
 
 	for (i = 0; i < j->batch->count; i++)
-		j->batch->where[i] = result && i < result->count
-					     ? result->where[i]
-					     : PH_EXECUTOR_UNKNOWN;
+		j->batch->possible_executor[i] =
+			result && i < result->count
+				? result->possible_executor[i]
+				: PH_EXECUTOR_UNKNOWN;
 	j->batch->resumed = true;
 }
 
--- a/src/submitter.h
+++ b/src/submitter.h
@@ -28,7 +28,7 @@
 	void (*send)(void *ctx, const struct ph_owner *owner,
 		     const struct ph_poolmsg *msg);
 	/** Measures the load of a pool that this instance owns itself. */
-	void (*own_load)(void *ctx, const char *domain,
+	void (*own_load)(void *ctx, const char *pool_name,
 			 struct ph_pool_load *load);
 	/** Answers the request that token names. retry_after_us is 0 unless the
 	 * outcome is PH_JOB_NOT_RUN; took_us is the time since its arrival. */
--- a/test/pool_world.cc
+++ b/test/pool_world.cc
@@ -349,7 +349,7 @@
 	o->number = (int)owners.size();
 	o->world = this;
 	options.mem = ph_mem_default();
-	options.domain = "north";
+	options.name = "north";
 	options.policy = policy;
 	options.lease_us = kLeaseUs;
 	options.stop_us = kStopUs;
@@ -471,10 +471,12 @@
 	w->spec = ph_memdup(ph_mem_default(), "x", 1);
 	w->resumed = true;
 	for (uint32_t i = 0; i < w->count; i++)
-		w->where[i] = PH_EXECUTOR_UNKNOWN;
+		w->possible_executor[i] = PH_EXECUTOR_UNKNOWN;
 	if (from->results.count(seq)) {
 		memcpy(w->done, from->results[seq].done, sizeof(w->done));
-		memcpy(w->where, from->results[seq].where, sizeof(w->where));
+		memcpy(w->possible_executor,
+		       from->results[seq].possible_executor,
+		       sizeof(w->possible_executor));
 	}
 	ph_pool_submit(to->pool, now_us, "submitter", seq, w);
 }
--- a/test/submitter_world.cc
+++ b/test/submitter_world.cc
@@ -96,7 +96,7 @@
 	for (Pool &p : w->pools) {
 		if (p.name != msg->pool)
 			continue;
-		for (uint32_t i = 0; i < msg->work->count; i++)
+		for (uint32_t i = 0; i < msg->batch_request->count; i++)
 			p.queue.push_back({ (int)w->sent_us.size() - 1,
 					    (uint64_t)(w->run_ms * kMs) });
 		w->start_queued(&p);
@@ -212,7 +212,8 @@
 		m.interval_us = kHeartbeatUs;
 		m.clock_us = now_us;
 		m.claim_count = 1;
-		snprintf(c->domain, sizeof(c->domain), "%s", p.name.c_str());
+		snprintf(c->pool_name, sizeof(c->pool_name), "%s",
+			 p.name.c_str());
 		c->token = 1;
 		c->load.usable = (uint32_t)load.executors;
 		c->load.capacity_milli = (uint32_t)load.executors *
--- a/test/test_cluster.cc
+++ b/test/test_cluster.cc
@@ -93,7 +93,7 @@
 		for (const auto &o : from->owned) {
 			ph_claim *c = &msg->claims[msg->claim_count++];
 
-			snprintf(c->domain, sizeof(c->domain), "%s",
+			snprintf(c->pool_name, sizeof(c->pool_name), "%s",
 				 o.first.c_str());
 			c->token = o.second;
 			c->offered = ph_cluster_pool_offered(
--- a/test/test_pool.cc
+++ b/test/test_pool.cc
@@ -547,7 +547,7 @@
 	w.run_until(w.now_us + 1000 * kMs);
 	EXPECT_TRUE(w.ended(b, seq, PH_VERDICT_DONE));
 	EXPECT_EQ(w.starts, 8);
-	EXPECT_EQ(ph_pool_counters(b->pool)->adopted, 8U);
+	EXPECT_EQ(ph_pool_counters(b->pool)->claimed_runs, 8U);
 }
 
 TEST(Pool, UnclaimedRunsAreStoppedBeforeTheCallerRetries)
--- a/test/test_poolmsg.cc
+++ b/test/test_poolmsg.cc
@@ -57,7 +57,7 @@
 	w.need = { 6800, 64, 1 };
 	w.estimate_us = 60000;
 	w.resumed = true;
-	w.where[1] = 5;
+	w.possible_executor[1] = 5;
 	ph_bit_set(w.done, 2);
 	return w;
 }
@@ -90,14 +90,14 @@
 			m.shards = 4;
 		}
 		if (t == PH_POOLMSG_SUBMIT) {
-			m.work = &request;
+			m.batch_request = &request;
 			snprintf(m.pool, sizeof(m.pool), "north#2");
 		}
 		if (t == PH_POOLMSG_RESULT) {
 			m.result.verdict = PH_VERDICT_MOVED;
 			m.result.reason = "another owner";
 			m.result.count = 2;
-			m.result.where[1] = 8;
+			m.result.possible_executor[1] = 8;
 		}
 		if (t == PH_POOLMSG_CONFIG) {
 			m.doc = doc;
@@ -111,12 +111,13 @@
 		EXPECT_EQ(got.claim_count, m.claim_count);
 		EXPECT_EQ(got.claims[0].token, m.claims[0].token);
 		EXPECT_EQ(got.claims[0].offered, m.claims[0].offered);
-		EXPECT_EQ(got.result.where[1], m.result.where[1]);
+		EXPECT_EQ(got.result.possible_executor[1],
+			  m.result.possible_executor[1]);
 		if (t == PH_POOLMSG_SUBMIT) {
-			EXPECT_STREQ(got.work->job, request.job);
-			EXPECT_EQ(got.work->where[1], 5U);
-			EXPECT_TRUE(ph_bit_get(got.work->done, 2));
-			EXPECT_EQ(got.work->need.gpu, 1U);
+			EXPECT_STREQ(got.batch_request->job, request.job);
+			EXPECT_EQ(got.batch_request->possible_executor[1], 5U);
+			EXPECT_TRUE(ph_bit_get(got.batch_request->done, 2));
+			EXPECT_EQ(got.batch_request->need.gpu, 1U);
 		}
 		if (t == PH_POOLMSG_LIST) {
 			EXPECT_EQ(got.change->digest_before, 3U);
@@ -143,7 +144,7 @@
 	std::string bytes;
 	ph_poolmsg got;
 
-	m.work = &request;
+	m.batch_request = &request;
 	bytes = encode(m);
 	for (size_t len = 0; len < bytes.size(); len++)
 		EXPECT_NE(decode(bytes.substr(0, len), &got), 0) << len;
--- a/test/test_submitter.cc
+++ b/test/test_submitter.cc
@@ -85,10 +85,14 @@
 	{
 		Fixture *f = static_cast<Fixture *>(ctx);
 
-		f->sent.push_back({ owner->name, msg->type, msg->seq, msg->pool,
-				    msg->work && msg->work->resumed,
-				    msg->work ? msg->work->where[0] : 0,
-				    msg->work ? msg->work->sent_us : 0 });
+		f->sent.push_back(
+			{ owner->name, msg->type, msg->seq, msg->pool,
+			  msg->batch_request && msg->batch_request->resumed,
+			  msg->batch_request
+				  ? msg->batch_request->possible_executor[0]
+				  : 0,
+			  msg->batch_request ? msg->batch_request->sent_us
+					     : 0 });
 	}
 
 	static void on_own_load(void *, const char *, ph_pool_load *load)
@@ -116,8 +120,8 @@
 		m.incarnation = incarnation;
 		m.clock_us = now_us + kClockAheadUs;
 		m.claim_count = token ? 1 : 0;
-		snprintf(m.claims[0].domain, sizeof(m.claims[0].domain), "%s",
-			 domain);
+		snprintf(m.claims[0].pool_name, sizeof(m.claims[0].pool_name),
+			 "%s", domain);
 		m.claims[0].token = token;
 		m.claims[0].load.usable = 4;
 		m.claims[0].load.capacity_milli = 64000;
@@ -149,7 +153,7 @@
 		r.retry_after_us = retry_after_us;
 		if (verdict == PH_VERDICT_MOVED) {
 			r.count = 4;
-			r.where[0] = 77;
+			r.possible_executor[0] = 77;
 		}
 		ph_submitter_result(submitter, now_us, sent.back().seq, &r);
 	}
