--- a/src/entry.c
+++ b/src/entry.c
@@ -11,11 +11,16 @@
 
 #define PART "entry"
 #define HTTP_THREADS 2U
-#define ENDPOINT_CONNECTIONS 8U
-#define CALL_TIMEOUT_US 1000000U
+#define CONNECTIONS_PER_ENDPOINT 8U
+#define PLATFORM_CALL_TIMEOUT_US 1000000U
+/* Longest time for which the platform holds a watch that finds no change. */
 #define WATCH_WAIT_US 20000000U
-#define RETRY_WATCH_US 300000U
-#define CONFIG_SEND_EVERY_US 200000U
+/* Delay before a failed watch is sent again. */
+#define WATCH_RETRY_US 300000U
+/* Shortest time between two messages with the configuration, to any peer. */
+#define CONFIG_SEND_INTERVAL_US 200000U
+/* Time from the end of accepting connections to the exit, in which requests on
+ * connections that were accepted before are still answered. */
 #define LINGER_US 300000U
 #define KEY_CONFIG "peridothall/config"
 #define KEY_ROSTERS "peridothall/rosters/"
@@ -32,15 +37,15 @@
 
 static void post(struct ph_entry *e, struct mail *m)
 {
-	ph_mailbox_put(e->box, &m->base);
+	ph_mailbox_put(e->mailbox, &m->base);
 }
 
-/* ## Events of other threads */
+/* ## Events from other threads */
 
-static void on_http(void *ctx, struct ph_http_req *req)
+static void on_http_request(void *ctx, struct ph_http_req *req)
 {
 	struct ph_entry *e = ctx;
-	struct mail *m = mail_new(e, MAIL_HTTP);
+	struct mail *m = mail_new(e, MAIL_HTTP_REQUEST);
 
 	m->req = req;
 	post(e, m);
@@ -49,14 +54,14 @@
 static int on_frame(void *ctx, const char *data, size_t len)
 {
 	struct ph_entry *e = ctx;
-	struct ph_decoded_msg *box;
+	struct ph_decoded_msg *msg;
 	struct mail *m;
-	int err = ph_msg_decode(e->mem, data, len, &box);
+	int err = ph_msg_decode(e->mem, data, len, &msg);
 
 	if (err)
 		return err;
 	m = mail_new(e, MAIL_MESSAGE);
-	m->box = box;
+	m->msg = msg;
 	post(e, m);
 	return 0;
 }
@@ -69,23 +74,27 @@
 	post(e, m);
 }
 
-static void on_refused(void *ctx, const char *addr)
+static void on_connection_refused(void *ctx, const char *addr)
 {
-	post_addr(ctx, MAIL_REFUSED, addr);
+	post_addr(ctx, MAIL_CONNECTION_REFUSED, addr);
 }
 
-static void on_broken(void *ctx, const char *addr)
+static void on_disconnected(void *ctx, const char *addr)
 {
-	post_addr(ctx, MAIL_BROKEN, addr);
+	post_addr(ctx, MAIL_DISCONNECTED, addr);
 }
 
 static const struct ph_peer_events peer_events = {
 	.frame = on_frame,
-	.refused = on_refused,
-	.broken = on_broken,
+	.refused = on_connection_refused,
+	.broken = on_disconnected,
 };
 
-static enum ph_outcome outcome_of(const struct ph_http_result *result)
+/* Maps the result of a call at an endpoint to the outcome of the task. With 503
+ * the endpoint refuses the task; if it also closes the connection, it is
+ * leaving. Any other status means that the task has run. Without an answer it
+ * may have run, unless the request was never sent. */
+static enum ph_outcome task_outcome(const struct ph_http_result *result)
 {
 	if (result->err == PH_ERR_UNREACHABLE)
 		return PH_OUTCOME_NOT_STARTED;
@@ -101,10 +110,10 @@
 			 const struct ph_http_result *result)
 {
 	struct ph_entry *e = ctx;
-	struct mail *m = mail_new(e, MAIL_TASK);
+	struct mail *m = mail_new(e, MAIL_TASK_DONE);
 
 	m->start_id = (uint64_t)(uintptr_t)user;
-	m->outcome = outcome_of(result);
+	m->outcome = task_outcome(result);
 	m->status = result->status;
 	m->data = ph_memdup(e->mem, result->body, result->body_len);
 	m->len = result->body_len;
@@ -135,12 +144,13 @@
 	post(e, m);
 }
 
+/* Posts each item of a reply as a mail of its own. */
 static void post_items(struct watch *w, const struct ph_platform_reply *reply)
 {
 	size_t i;
 
 	for (i = 0; i < reply->item_count; i++) {
-		struct mail *m = mail_new(w->entry, w->news);
+		struct mail *m = mail_new(w->entry, w->item_mail);
 
 		m->index = reply->items[i].index;
 		m->data = ph_memdup(w->entry->mem, reply->items[i].value,
@@ -154,7 +164,7 @@
 {
 	struct watch *w = ctx;
 	struct ph_entry *e = w->entry;
-	struct mail *m = mail_new(e, MAIL_WATCH_AGAIN);
+	struct mail *m = mail_new(e, MAIL_WATCH_RETURNED);
 
 	if (!reply->err)
 		post_items(w, reply);
@@ -164,7 +174,8 @@
 	post(e, m);
 }
 
-static void on_listed(void *ctx, const struct ph_platform_reply *reply)
+static void on_endpoints_listed(void *ctx,
+				const struct ph_platform_reply *reply)
 {
 	struct watch *w = ctx;
 	struct ph_entry *e = w->entry;
@@ -173,7 +184,7 @@
 	if (!reply->err) {
 		size_t bytes = reply->listed_count * sizeof(*reply->listed);
 
-		m = mail_new(e, MAIL_LISTED);
+		m = mail_new(e, MAIL_ENDPOINTS);
 		m->watch = w;
 		m->listed = e->mem->calloc(1, bytes);
 		if (bytes)
@@ -181,14 +192,14 @@
 		m->listed_count = reply->listed_count;
 		post(e, m);
 	}
-	m = mail_new(e, MAIL_WATCH_AGAIN);
+	m = mail_new(e, MAIL_WATCH_RETURNED);
 	m->watch = w;
 	m->err = reply->err;
 	m->index = reply->index;
 	post(e, m);
 }
 
-/* ## The core's sink */
+/* ## Outputs of the core */
 
 static void sink_send(void *ctx, const char *addr, const struct ph_msg *msg)
 {
@@ -210,7 +221,7 @@
 		.headers = { "Content-Type: application/json", task },
 		.body = start->payload_len ? start->payload : "null",
 		.body_len = start->payload_len ? start->payload_len : 4,
-		.timeout_us = e->set.task_timeout_us,
+		.timeout_us = e->settings.task_timeout_us,
 		.user = (void *)(uintptr_t)start->start_id,
 	};
 
@@ -230,7 +241,7 @@
 
 static void roster_key(const struct ph_entry *e, char key[PH_ID_BYTES])
 {
-	snprintf(key, PH_ID_BYTES, KEY_ROSTERS "%s", e->set.domain);
+	snprintf(key, PH_ID_BYTES, KEY_ROSTERS "%s", e->settings.domain);
 }
 
 static void sink_roster_read(void *ctx)
@@ -263,43 +274,48 @@
 
 /* ## Watches */
 
-static void watch_begin(struct watch *w)
+static void watch_start(struct watch *w)
 {
 	struct ph_entry *e = w->entry;
 	struct ph_platform *p = e->platform;
 
-	w->waiting = true;
+	w->in_flight = true;
 	e->watch_calls++;
-	if (w->news == MAIL_LISTED)
-		p->ops->list_instances(p, w->key, w->index, on_listed, w);
+	if (w->item_mail == MAIL_ENDPOINTS)
+		p->ops->list_instances(p, w->key, w->index, on_endpoints_listed,
+				       w);
 	else
-		p->ops->watch(p, w->key, w->news == MAIL_ROSTER_SEEN, w->index,
-			      on_watch, w);
+		p->ops->watch(p, w->key, w->item_mail == MAIL_ROSTER_SEEN,
+			      w->index, on_watch, w);
 }
 
-static void watch_add(struct ph_entry *e, enum mail_type news, const char *key)
+static void watch_add(struct ph_entry *e, enum mail_type item_mail,
+		      const char *key)
 {
 	struct watch *w = e->mem->calloc(1, sizeof(*w));
 
 	w->entry = e;
-	w->news = news;
+	w->item_mail = item_mail;
 	ph_strcopy(w->key, sizeof(w->key), key);
 	w->next = e->watches;
 	e->watches = w;
-	watch_begin(w);
+	watch_start(w);
 }
 
-static void watch_again(struct ph_entry *e, const struct mail *m, uint64_t now)
+/* Sends the query again, at once or, after an error, in WATCH_RETRY_US. */
+static void watch_returned(struct ph_entry *e, const struct mail *m,
+			   uint64_t now)
 {
 	struct watch *w = m->watch;
 
-	w->waiting = false;
-	w->due_us = m->err ? now + RETRY_WATCH_US : now;
-	/* An index that went back means that the store was restored. */
+	w->in_flight = false;
+	w->retry_at_us = m->err ? now + WATCH_RETRY_US : now;
+	/* A lower index than before means that the platform's store was
+	 * restored from a backup: start from 0 to read everything anew. */
 	if (!m->err)
 		w->index = m->index < w->index ? 0 : m->index;
 	if (!m->err && !e->stopping)
-		watch_begin(w);
+		watch_start(w);
 }
 
 static void watches_retry(struct ph_entry *e, uint64_t now)
@@ -307,23 +323,26 @@
 	struct watch *w;
 
 	for (w = e->watches; w; w = w->next)
-		if (!w->waiting && now >= w->due_us && !e->stopping)
-			watch_begin(w);
+		if (!w->in_flight && now >= w->retry_at_us && !e->stopping)
+			watch_start(w);
 }
 
-static bool watched(const struct ph_entry *e, const char *service)
+/* Whether the endpoints of a service are watched already. */
+static bool is_watched(const struct ph_entry *e, const char *service)
 {
 	const struct watch *w;
 
 	for (w = e->watches; w; w = w->next)
-		if (w->news == MAIL_LISTED && !strcmp(w->key, service))
+		if (w->item_mail == MAIL_ENDPOINTS && !strcmp(w->key, service))
 			return true;
 	return false;
 }
 
 /* ## Configuration */
 
-static void offer_config(struct ph_entry *e, const char *doc, size_t len,
+/* Applies a configuration document if it is valid and newer than the one in
+ * force, and watches the endpoints of services that are new in it. */
+static void apply_config(struct ph_entry *e, const char *doc, size_t len,
 			 uint64_t now)
 {
 	const struct ph_config *config;
@@ -333,33 +352,36 @@
 	case 0:
 		break;
 	case PH_ERR_SYNTAX:
-		ph_log(PART, "Configuration is invalid, ignored.");
+		ph_log(PART,
+		       "Ignored an invalid configuration of %zu bytes; version "
+		       "%llu stays in force.",
+		       len, (unsigned long long)ph_confstore_version(&e->conf));
 		return;
 	default:
 		return;
 	}
 	config = e->conf.config;
-	ph_log(PART, "Configuration %llu is in force.",
+	ph_log(PART, "Applied configuration version %llu.",
 	       (unsigned long long)config->version);
 	ph_core_set_config(e->core, now, config);
 	for (i = 0; i < config->service_count; i++)
-		if (!watched(e, config->services[i].name))
-			watch_add(e, MAIL_LISTED, config->services[i].name);
+		if (!is_watched(e, config->services[i].name))
+			watch_add(e, MAIL_ENDPOINTS, config->services[i].name);
 }
 
-/* A peer with an older version is told the newer one. */
-static void help_peer(struct ph_entry *e, const struct ph_msg *msg,
-		      uint64_t now)
+/* Sends the configuration to a peer that reports an older version. */
+static void send_newer_config(struct ph_entry *e, const struct ph_msg *msg,
+			      uint64_t now)
 {
 	struct ph_msg out = { .type = PH_MSG_CONFIG };
 
 	if (msg->config_version >= ph_confstore_version(&e->conf))
 		return;
-	if (now < e->config_sent_us + CONFIG_SEND_EVERY_US)
+	if (now < e->config_sent_us + CONFIG_SEND_INTERVAL_US)
 		return;
 	e->config_sent_us = now;
-	out.name = e->set.name;
-	out.domain = e->set.domain;
+	out.name = e->settings.name;
+	out.domain = e->settings.domain;
 	out.addr = e->advertise;
 	out.incarnation = 0;
 	out.config_version = ph_confstore_version(&e->conf);
@@ -370,14 +392,16 @@
 
 /* ## Control thread */
 
-static void handle_listed(struct ph_entry *e, struct mail *m, uint64_t now)
+/* Passes the endpoints of the own failure domain, and those without a domain,
+ * to the core. */
+static void handle_endpoints(struct ph_entry *e, struct mail *m, uint64_t now)
 {
 	size_t kept = 0;
 	size_t i;
 
 	for (i = 0; i < m->listed_count; i++)
 		if (!m->listed[i].domain[0] ||
-		    !strcmp(m->listed[i].domain, e->set.domain))
+		    !strcmp(m->listed[i].domain, e->settings.domain))
 			m->listed[kept++] = m->listed[i];
 	ph_core_set_endpoints(e->core, now, m->watch->key, m->listed, kept);
 }
@@ -386,11 +410,11 @@
 			   uint64_t now)
 {
 	if (msg->type == PH_MSG_CONFIG) {
-		offer_config(e, msg->doc, msg->doc_len, now);
+		apply_config(e, msg->doc, msg->doc_len, now);
 		return;
 	}
 	if (msg->type == PH_MSG_PING || msg->type == PH_MSG_PONG)
-		help_peer(e, msg, now);
+		send_newer_config(e, msg, now);
 	ph_core_message(e->core, now, msg);
 }
 
@@ -407,19 +431,19 @@
 static void handle(struct ph_entry *e, struct mail *m, uint64_t now)
 {
 	switch ((enum mail_type)m->base.type) {
-	case MAIL_HTTP:
+	case MAIL_HTTP_REQUEST:
 		ph_entry_http(e, m->req, now);
 		break;
 	case MAIL_MESSAGE:
-		handle_message(e, ph_decoded_msg_get(m->box), now);
+		handle_message(e, ph_decoded_msg_get(m->msg), now);
 		break;
-	case MAIL_REFUSED:
+	case MAIL_CONNECTION_REFUSED:
 		ph_core_connection_refused(e->core, now, m->addr);
 		break;
-	case MAIL_BROKEN:
+	case MAIL_DISCONNECTED:
 		ph_core_disconnected(e->core, now, m->addr);
 		break;
-	case MAIL_TASK:
+	case MAIL_TASK_DONE:
 		ph_core_task_done(e->core, now, m->start_id, m->outcome,
 				  m->status, m->data, m->len);
 		break;
@@ -434,17 +458,18 @@
 		ph_core_roster_seen(e->core, now, m->index, m->data, m->len);
 		break;
 	case MAIL_CONFIG:
-		offer_config(e, m->data, m->len, now);
+		apply_config(e, m->data, m->len, now);
 		break;
-	case MAIL_LISTED:
-		handle_listed(e, m, now);
+	case MAIL_ENDPOINTS:
+		handle_endpoints(e, m, now);
 		break;
-	case MAIL_WATCH_AGAIN:
-		watch_again(e, m, now);
+	case MAIL_WATCH_RETURNED:
+		watch_returned(e, m, now);
 		break;
 	case MAIL_STOP:
 		if (!e->stopping)
-			ph_log(PART, "Stop requested.");
+			ph_log(PART, "Stop requested; handing over jobs and "
+				     "leaving the roster.");
 		e->stopping = true;
 		ph_core_stop(e->core, now);
 		break;
@@ -456,38 +481,40 @@
 
 static void mail_free(struct ph_entry *e, struct mail *m)
 {
-	ph_decoded_msg_free(m->box);
+	ph_decoded_msg_free(m->msg);
 	e->mem->free(m->data);
 	e->mem->free(m->listed);
 	e->mem->free(m);
 }
 
-/* True once nothing that was accepted is left to be done. */
+/* True once a requested stop is complete: the core has stopped, all requests
+ * are answered, none has arrived for drain_us, and LINGER_US have passed since
+ * the HTTP server stopped accepting connections. */
 static bool may_exit(struct ph_entry *e, uint64_t now)
 {
 	if (!e->stopping || !ph_core_stopped(e->core) || e->open_requests) {
-		e->quiet_since_us = now;
+		e->idle_since_us = now;
 		return false;
 	}
-	if (now < e->last_request_us + e->set.drain_us)
+	if (now < e->last_request_us + e->settings.drain_us)
 		return false;
 	if (!e->quiesced) {
 		e->quiesced = true;
-		e->quiet_since_us = now;
+		e->idle_since_us = now;
 		ph_httpd_quiesce(e->httpd);
 	}
-	return now >= e->quiet_since_us + LINGER_US;
+	return now >= e->idle_since_us + LINGER_US;
 }
 
-static void *APR_THREAD_FUNC run(apr_thread_t *thread, void *data)
+static void *APR_THREAD_FUNC control_thread(apr_thread_t *thread, void *data)
 {
 	struct ph_entry *e = data;
-	uint64_t ticked_us = 0;
+	uint64_t last_tick_us = 0;
 
 	(void)thread;
 	for (;;) {
 		struct ph_mail *mail =
-			ph_mailbox_take(e->box, PH_CORE_TICK_US / 2);
+			ph_mailbox_take(e->mailbox, PH_CORE_TICK_US / 2);
 
 		while (mail) {
 			struct ph_mail *next = mail->next;
@@ -496,19 +523,19 @@
 			mail_free(e, (struct mail *)mail);
 			mail = next;
 		}
-		if (ph_clock_us() < ticked_us + PH_CORE_TICK_US)
+		if (ph_clock_us() < last_tick_us + PH_CORE_TICK_US)
 			continue;
-		ticked_us = ph_clock_us();
-		watches_retry(e, ticked_us);
-		ph_core_tick(e->core, ticked_us);
-		if (may_exit(e, ticked_us))
+		last_tick_us = ph_clock_us();
+		watches_retry(e, last_tick_us);
+		ph_core_tick(e->core, last_tick_us);
+		if (may_exit(e, last_tick_us))
 			break;
 	}
 	ph_log(PART, "Stopped.");
 	return NULL;
 }
 
-/* ## Life of the instance */
+/* ## Start and stop */
 
 void ph_entry_settings_init(struct ph_entry_settings *settings)
 {
@@ -523,6 +550,7 @@
 	settings->drain_us = 500000;
 }
 
+/* Returns a random number below 2^62 that is never 0. */
 static uint64_t new_incarnation(void)
 {
 	uint64_t id = 0;
@@ -531,20 +559,20 @@
 	return (id & (((uint64_t)1 << 62) - 1)) | 1;
 }
 
-static void core_start(struct ph_entry *e)
+static void create_core(struct ph_entry *e)
 {
 	struct ph_core_options options = {
 		.mem = e->mem,
-		.name = e->set.name,
-		.domain = e->set.domain,
+		.name = e->settings.name,
+		.domain = e->settings.domain,
 		.addr = e->advertise,
 		.incarnation = new_incarnation(),
-		.ping_every_us = e->set.ping_every_us,
-		.suspect_after_us = e->set.suspect_after_us,
-		.solo_after_us = e->set.solo_after_us,
-		.remember_us = e->set.remember_us,
-		.hold_us = e->set.hold_us,
-		.answer_bytes_max = (size_t)e->set.answer_bytes_max,
+		.ping_every_us = e->settings.ping_every_us,
+		.suspect_after_us = e->settings.suspect_after_us,
+		.solo_after_us = e->settings.solo_after_us,
+		.remember_us = e->settings.remember_us,
+		.hold_us = e->settings.hold_us,
+		.answer_bytes_max = (size_t)e->settings.answer_bytes_max,
 		.queue_policy = &ph_queue_fair,
 		.sink = &core_sink,
 		.ctx = e,
@@ -553,10 +581,11 @@
 	e->core = ph_core_new(&options, ph_clock_us());
 }
 
+/* Passes each address of the comma-separated list to the core. */
 static void add_seeds(struct ph_entry *e)
 {
 	char seed[PH_ADDR_BYTES];
-	const char *at = e->set.seeds;
+	const char *at = e->settings.seeds;
 
 	while (at && *at) {
 		size_t len = strcspn(at, ",");
@@ -571,22 +600,22 @@
 	}
 }
 
-static int open_ports(struct ph_entry *e)
+static int open_servers(struct ph_entry *e)
 {
 	struct ph_peer_options peer = {
 		.mem = e->mem,
-		.address = e->set.address,
-		.port = e->set.peer_port,
+		.address = e->settings.address,
+		.port = e->settings.peer_port,
 		.events = &peer_events,
 		.ctx = e,
 	};
 	struct ph_httpd_options http = {
 		.mem = e->mem,
-		.address = e->set.address,
-		.port = e->set.http_port,
+		.address = e->settings.address,
+		.port = e->settings.http_port,
 		.threads = HTTP_THREADS,
 		.max_body_bytes = PH_MAX_BODY_BYTES,
-		.handler = on_http,
+		.handler = on_http_request,
 		.ctx = e,
 	};
 
@@ -601,16 +630,16 @@
 {
 	struct ph_httpc_options calls = {
 		.mem = e->mem,
-		.connections_per_host = ENDPOINT_CONNECTIONS,
-		.source = e->set.address,
+		.connections_per_host = CONNECTIONS_PER_ENDPOINT,
+		.source = e->settings.address,
 		.done = on_task_done,
 		.ctx = e,
 	};
 	struct ph_platform_options platform = {
 		.mem = e->mem,
-		.url = e->set.platform_url,
-		.source = e->set.address,
-		.call_timeout_us = CALL_TIMEOUT_US,
+		.url = e->settings.platform_url,
+		.source = e->settings.address,
+		.call_timeout_us = PLATFORM_CALL_TIMEOUT_US,
 		.watch_wait_us = WATCH_WAIT_US,
 	};
 
@@ -627,7 +656,7 @@
 	ph_httpc_free(e->endpoints);
 	if (e->platform)
 		e->platform->ops->free(e->platform);
-	mail = ph_mailbox_take(e->box, 0);
+	mail = ph_mailbox_take(e->mailbox, 0);
 	while (mail) {
 		struct ph_mail *next = mail->next;
 
@@ -642,7 +671,7 @@
 	}
 	ph_core_free(e->core);
 	ph_confstore_free(&e->conf);
-	ph_mailbox_free(e->box);
+	ph_mailbox_free(e->mailbox);
 	ph_buf_free(&e->frame);
 	apr_pool_destroy(e->pool);
 	e->mem->free(e);
@@ -656,25 +685,25 @@
 	int err;
 
 	e->mem = mem;
-	e->set = *settings;
+	e->settings = *settings;
 	if (settings->advertise)
 		ph_strcopy(e->advertise, PH_ADDR_BYTES, settings->advertise);
 	else
 		snprintf(e->advertise, PH_ADDR_BYTES, "%s:%u",
 			 settings->address, settings->peer_port);
 	apr_pool_create(&e->pool, NULL);
-	e->box = ph_mailbox_new(mem);
+	e->mailbox = ph_mailbox_new(mem);
 	ph_confstore_init(&e->conf, mem);
 	ph_buf_init(&e->frame, mem);
-	core_start(e);
+	create_core(e);
 	add_seeds(e);
-	err = open_ports(e);
+	err = open_servers(e);
 	if (err)
 		goto fail;
 	open_clients(e);
 	watch_add(e, MAIL_ROSTER_SEEN, KEY_ROSTERS);
 	watch_add(e, MAIL_CONFIG, KEY_CONFIG);
-	apr_thread_create(&e->thread, NULL, run, e, e->pool);
+	apr_thread_create(&e->thread, NULL, control_thread, e, e->pool);
 	*out = e;
 	return 0;
 fail:
--- a/src/entry_http.c
+++ b/src/entry_http.c
@@ -34,6 +34,7 @@
 	ph_entry_answer(e, req, status, NULL, text, strlen(text));
 }
 
+/* Returns the team whose key the request bears, or NULL. */
 static const struct ph_team *authenticate(const struct ph_entry *e,
 					  const struct ph_http_req *req)
 {
@@ -47,31 +48,33 @@
 				     value + sizeof(scheme) - 1);
 }
 
-/* Splits /v1/services/{service}/jobs/{id}. */
+/* Splits /v1/services/{service}/jobs/{id}; false if the path has another form
+ * or a part is too long. */
 static bool split_path(const char *path, char service[PH_NAME_BYTES],
 		       char id[PH_ID_BYTES])
 {
-	static const char head[] = "/v1/services/";
-	static const char middle[] = "/jobs/";
+	static const char prefix[] = "/v1/services/";
+	static const char separator[] = "/jobs/";
 	const char *at;
 	size_t len;
 
-	if (strncmp(path, head, sizeof(head) - 1) != 0)
+	if (strncmp(path, prefix, sizeof(prefix) - 1) != 0)
 		return false;
-	path += sizeof(head) - 1;
-	at = strstr(path, middle);
+	path += sizeof(prefix) - 1;
+	at = strstr(path, separator);
 	if (!at)
 		return false;
 	len = (size_t)(at - path);
 	if (len >= PH_NAME_BYTES ||
-	    strlen(at) - sizeof(middle) + 1 >= PH_ID_BYTES)
+	    strlen(at) - sizeof(separator) + 1 >= PH_ID_BYTES)
 		return false;
 	memcpy(service, path, len);
 	service[len] = '\0';
-	ph_strcopy(id, PH_ID_BYTES, at + sizeof(middle) - 1);
+	ph_strcopy(id, PH_ID_BYTES, at + sizeof(separator) - 1);
 	return true;
 }
 
+/* Returns 0 for a method that jobs do not have. */
 static enum ph_request_type request_type(const char *method)
 {
 	if (!strcmp(method, "POST"))
@@ -83,23 +86,28 @@
 	return 0;
 }
 
-static uint32_t attempt_of(const struct ph_http_req *req)
+/* Number of the caller's attempt, 1 for the first one; 0 if the caller doesn't
+ * tell. */
+static uint32_t attempt_number(const struct ph_http_req *req)
 {
 	const char *value = ph_http_req_header(req, "Attempt");
 
 	return value ? (uint32_t)strtoul(value, NULL, 10) : 0;
 }
 
-/* An id that was first sent before the window may be forgotten here, so it
- * can't be taken as new. */
-static bool is_too_old(const struct ph_entry *e, const struct ph_http_req *req)
+/* Whether a job was first sent longer ago than ended jobs are kept. Its record
+ * may be gone from the ledger, so an unknown id does not show that the job is
+ * new, and accepting it could run its tasks twice. */
+static bool is_past_retention(const struct ph_entry *e,
+			      const struct ph_http_req *req)
 {
 	const char *value = ph_http_req_header(req, "Sent-Ago-Ms");
 
 	return value &&
-	       strtoull(value, NULL, 10) >= e->set.remember_us / US_PER_MS;
+	       strtoull(value, NULL, 10) >= e->settings.remember_us / US_PER_MS;
 }
 
+/* Checks a request on a job and passes it to the core, which answers it. */
 static void handle_job(struct ph_entry *e, struct ph_http_req *req,
 		       uint64_t now)
 {
@@ -139,14 +147,14 @@
 			    "\"field\":\"Authorization\"}");
 		return;
 	}
-	if (q.type == PH_REQUEST_SUBMIT && is_too_old(e, req)) {
+	if (q.type == PH_REQUEST_SUBMIT && is_past_retention(e, req)) {
 		answer_text(e, req, 410,
 			    "{\"error\":\"first sent before the window; its "
 			    "tasks may have run\","
 			    "\"field\":\"Sent-Ago-Ms\"}");
 		return;
 	}
-	q.attempt = attempt_of(req);
+	q.attempt = attempt_number(req);
 	q.team = team->name;
 	q.service = service;
 	q.id = id;
