--- a/src/buf.c
+++ b/src/buf.c
@@ -100,7 +100,8 @@
 void *ph_array_grow(const struct ph_mem *mem, void *array, size_t count,
 		    size_t size)
 {
-	/* Full at each power of two. */
+	/* The capacity is the least power of two that holds count elements,
+	 * so the array is full whenever count is 0 or a power of two. */
 	if (!(count & (count - 1)))
 		array = mem->realloc(array, (count ? 2 * count : 1) * size);
 	memset((char *)array + count * size, 0, size);
--- a/src/buf.h
+++ b/src/buf.h
@@ -12,7 +12,7 @@
 	size_t cap;
 };
 
-/** Prepares an empty buffer; no memory is taken until the first write. */
+/** Initializes an empty buffer; memory is allocated at the first write. */
 void ph_buf_init(struct ph_buf *buf, const struct ph_mem *mem);
 
 /** Appends len bytes. */
@@ -21,27 +21,28 @@
 /** Appends a NUL-terminated string. */
 void ph_buf_puts(struct ph_buf *buf, const char *text);
 
-/** Appends formatted text of at most 1,023 bytes. */
+/** Appends formatted text; what exceeds 1,023 bytes is cut off. */
 void ph_buf_printf(struct ph_buf *buf, const char *format, ...)
 	__attribute__((format(printf, 2, 3)));
 
-/** Drops the first len bytes. */
+/** Removes the first len bytes. */
 void ph_buf_consume(struct ph_buf *buf, size_t len);
 
-/** Hands the memory over to the caller and leaves the buffer empty. */
+/** Returns the memory, which the caller then frees, and empties the buffer. */
 char *ph_buf_detach(struct ph_buf *buf);
 
 void ph_buf_free(struct ph_buf *buf);
 
-/** Copies len bytes and adds a NUL; NULL stays NULL. */
+/** Returns a NUL-terminated copy of len bytes, or NULL if data is NULL. */
 char *ph_memdup(const struct ph_mem *mem, const char *data, size_t len);
 
-/** Copies at most size - 1 bytes of a string and always terminates. */
+/** Copies a string, cut off at size - 1 bytes; a NULL src is an empty string.
+ */
 void ph_strcopy(char *dst, size_t size, const char *src);
 
 /**
- * Makes room for one more element of size bytes behind count others. The array
- * may move; a new element's bytes are zero.
+ * Adds a zeroed element of size bytes to an array of count elements that was
+ * grown by this function only. Returns the array, which may have moved.
  */
 void *ph_array_grow(const struct ph_mem *mem, void *array, size_t count,
 		    size_t size);
--- a/src/error.c
+++ b/src/error.c
@@ -1,6 +1,6 @@
 #include "peridothall.h"
 
-static const char *const phrases[] = {
+static const char *const messages[] = {
 	"ok",		"out of memory", "syntax error",
 	"out of range", "unknown",	 "conflict",
 	"unreachable",	"timeout",	 "unknown version",
@@ -11,7 +11,7 @@
 {
 	size_t index = error > 0 ? 0 : (size_t)-error;
 
-	if (index >= sizeof(phrases) / sizeof(phrases[0]))
+	if (index >= sizeof(messages) / sizeof(messages[0]))
 		return "unknown error";
-	return phrases[index];
+	return messages[index];
 }
--- a/src/log.c
+++ b/src/log.c
@@ -16,13 +16,13 @@
 static char instance[PH_NAME_BYTES];
 static int quiet_flag;
 
-/* Decision lines of the present second, shared by all threads. */
+/* Event lines of the present second and those dropped, for all threads. */
 static struct {
 	uint64_t per_second;
 	uint64_t second;
 	uint64_t count;
 	uint64_t dropped;
-	uint64_t dropped_told;
+	uint64_t dropped_reported;
 } events;
 
 void ph_log_name(const char *name)
@@ -65,8 +65,8 @@
 	return __atomic_load_n(&events.dropped, __ATOMIC_RELAXED);
 }
 
-/* Tells whether one more line may be written in this second. */
-static int admit(uint64_t second)
+/* Counts a line and returns whether the limit of this second permits it. */
+static int within_limit(uint64_t second)
 {
 	if (__atomic_exchange_n(&events.second, second, __ATOMIC_RELAXED) !=
 	    second)
@@ -81,29 +81,30 @@
 		__atomic_add_fetch(&events.dropped, 1, __ATOMIC_RELAXED);
 }
 
-static size_t line_head(char *line, size_t size, const struct timespec *now,
-			const char *part)
+static size_t write_line_prefix(char *line, size_t size,
+				const struct timespec *now, const char *part)
 {
 	return (size_t)snprintf(line, size, "t=%lld.%06ld instance=%s part=%s ",
 				(long long)now->tv_sec,
 				now->tv_nsec / (long)NS_PER_US, instance, part);
 }
 
-/* Says how many lines were dropped since it was said last. */
-static void tell_dropped(const struct timespec *now)
+/* Writes an event with the number of lines dropped since the last such event.
+ */
+static void report_dropped(const struct timespec *now)
 {
 	char line[EVENT_BYTES];
 	uint64_t dropped = ph_log_dropped();
 	size_t len;
 
-	if (dropped == events.dropped_told)
+	if (dropped == events.dropped_reported)
 		return;
-	len = line_head(line, sizeof(line), now, "log");
+	len = write_line_prefix(line, sizeof(line), now, "log");
 	len += (size_t)snprintf(
 		line + len, sizeof(line) - len,
 		"event=lines_dropped count=%llu\n",
-		(unsigned long long)(dropped - events.dropped_told));
-	events.dropped_told = dropped;
+		(unsigned long long)(dropped - events.dropped_reported));
+	events.dropped_reported = dropped;
 	write_line(line, len);
 }
 
@@ -118,12 +119,12 @@
 	if (quiet_flag || !events.per_second)
 		return;
 	clock_gettime(CLOCK_REALTIME, &now);
-	if (!admit((uint64_t)now.tv_sec)) {
+	if (!within_limit((uint64_t)now.tv_sec)) {
 		__atomic_add_fetch(&events.dropped, 1, __ATOMIC_RELAXED);
 		return;
 	}
-	tell_dropped(&now);
-	len = line_head(line, sizeof(line), &now, part);
+	report_dropped(&now);
+	len = write_line_prefix(line, sizeof(line), &now, part);
 	va_start(args, format);
 	n = vsnprintf(line + len, sizeof(line) - len - 1, format, args);
 	va_end(args);
--- a/src/mem.c
+++ b/src/mem.c
@@ -3,10 +3,10 @@
 
 #include "peridothall.h"
 
-static void *checked(void *ptr)
+static void *abort_if_null(void *ptr)
 {
 	if (!ptr) {
-		fputs("mem: Out of memory.\n", stderr);
+		fputs("mem: Out of memory, aborting.\n", stderr);
 		abort();
 	}
 	return ptr;
@@ -14,12 +14,12 @@
 
 static void *default_calloc(size_t count, size_t size)
 {
-	return checked(calloc(count ? count : 1, size ? size : 1));
+	return abort_if_null(calloc(count ? count : 1, size ? size : 1));
 }
 
 static void *default_realloc(void *ptr, size_t size)
 {
-	return checked(realloc(ptr, size ? size : 1));
+	return abort_if_null(realloc(ptr, size ? size : 1));
 }
 
 static const struct ph_mem default_mem = {
--- a/src/settings.c
+++ b/src/settings.c
@@ -12,11 +12,14 @@
 
 #define ENV_BYTES 64
 #define MAX_SETTINGS 32
+/* Errors of the command line that argtable reports. */
 #define MAX_ERRORS 20
 #define US_PER_MS 1000U
 
-/* argtable's own arguments behind the program's. */
+/* Table for argtable: the program's settings, then the arguments that all
+ * programs have. */
 struct table {
+	/** 4: help, print, operands and end. */
 	void *args[MAX_SETTINGS + 4];
 	struct arg_lit *help;
 	struct arg_lit *print;
@@ -25,6 +28,7 @@
 	size_t count;
 };
 
+/* Writes the name of the environment variable for a flag. */
 static void env_name(const char *flag, char out[ENV_BYTES])
 {
 	size_t n = (size_t)snprintf(out, ENV_BYTES, "PERIDOTHALL_%s", flag);
@@ -44,7 +48,7 @@
 	case PH_SETTING_PORT:
 		return "PORT";
 	case PH_SETTING_MS:
-	case PH_SETTING_BOUND_MS:
+	case PH_SETTING_FRACTIONAL_MS:
 		return "MS";
 	case PH_SETTING_NUMBER:
 		return "N";
@@ -92,6 +96,8 @@
 	       "'-'.\n");
 }
 
+/* Returns the text of a setting and notes its origin; NULL if it is required
+ * and missing. */
 static const char *raw_value(struct ph_setting *s, void *arg)
 {
 	char name[ENV_BYTES];
@@ -122,6 +128,7 @@
 	return s->fallback;
 }
 
+/* Returns an error message, or NULL. */
 static const char *parse_number(const char *raw, uint64_t max, uint64_t *out)
 {
 	char *end;
@@ -130,45 +137,47 @@
 	errno = 0;
 	n = strtoull(raw, &end, 10);
 	if (errno || !*raw || *end || *raw == '-' || n > max)
-		return "is not a number in its range";
+		return "is not a whole number within its range";
 	*out = n;
 	return NULL;
 }
 
-static const char *parse_bound(const char *raw, uint64_t *us)
+/* Parses milliseconds, also fractions. Returns an error message, or NULL. */
+static const char *parse_ms(const char *raw, uint64_t *us)
 {
 	char *end;
 	double ms = strtod(raw, &end);
 
 	if (end == raw || *end || !(ms > 0) || ms > UINT32_MAX)
-		return "is not a number of milliseconds above 0";
+		return "is not a positive number of milliseconds";
 	*us = (uint64_t)(ms * US_PER_MS);
 	return NULL;
 }
 
-/* Returns what is wrong, or NULL. */
+/* Parses a text and stores its value. Returns an error message, or NULL. */
 static const char *apply(struct ph_setting *s, const char *raw)
 {
 	struct in_addr ip;
-	const char *wrong = NULL;
+	const char *error = NULL;
 
 	switch (s->type) {
 	case PH_SETTING_NAME:
 		if (!ph_name_valid(raw))
-			return "is not a name of 1 to 31 of [a-z0-9-]";
+			return "is not a name of 1 to 31 characters of "
+			       "[a-z0-9-]";
 		break;
 	case PH_SETTING_IP:
 		if (inet_pton(AF_INET, raw, &ip) != 1)
-			return "is not an IP number";
+			return "is not an IPv4 address";
 		break;
 	case PH_SETTING_PORT:
 		return parse_number(raw, UINT16_MAX, s->number);
 	case PH_SETTING_MS:
-		wrong = parse_number(raw, UINT32_MAX, s->number);
+		error = parse_number(raw, UINT32_MAX, s->number);
 		*s->number *= US_PER_MS;
-		return wrong;
-	case PH_SETTING_BOUND_MS:
-		return parse_bound(*raw ? raw : s->fallback, s->number);
+		return error;
+	case PH_SETTING_FRACTIONAL_MS:
+		return parse_ms(*raw ? raw : s->fallback, s->number);
 	case PH_SETTING_NUMBER:
 	case PH_SETTING_FLAG:
 		return parse_number(raw, UINT32_MAX, s->number);
@@ -179,6 +188,8 @@
 	return NULL;
 }
 
+/* Stores all settings and prints a line for each fault; returns their number.
+ */
 static int apply_all(struct ph_settings *settings, struct table *t)
 {
 	int faults = 0;
@@ -187,16 +198,16 @@
 	for (i = 0; i < settings->count; i++) {
 		struct ph_setting *s = &settings->list[i];
 		const char *raw = raw_value(s, t->args[i]);
-		const char *wrong = raw ? NULL : "is required";
+		const char *error = raw ? NULL : "is required";
 
 		if (raw && (*raw || s->fallback != raw))
-			wrong = apply(s, raw);
+			error = apply(s, raw);
 		else if (raw && s->text)
 			*s->text = NULL;
-		if (!wrong)
+		if (!error)
 			continue;
 		fprintf(stderr, "%s: --%s %s\n", settings->program, s->flag,
-			wrong);
+			error);
 		faults++;
 	}
 	return faults;
--- a/src/settings.h
+++ b/src/settings.h
@@ -1,9 +1,9 @@
 #ifndef PH_SETTINGS_H
 #define PH_SETTINGS_H
 
-/* Settings of a program from flags and environment variables of the same
- * name: --peer-port is PERIDOTHALL_PEER_PORT. Flags go before the
- * environment, the environment before the default. */
+/* Settings of a program from flags and environment variables, such as
+ * --peer-port and PERIDOTHALL_PEER_PORT. A flag overrides the environment, and
+ * the environment overrides the default. */
 
 #include <stdbool.h>
 
@@ -14,29 +14,33 @@
 	PH_SETTING_NAME,
 	PH_SETTING_IP,
 	PH_SETTING_PORT,
-	/** Milliseconds on the outside, microseconds in the value. */
+	/** Whole milliseconds in the text, microseconds in the value. */
 	PH_SETTING_MS,
-	/** As above, of the surroundings: maybe a fraction; where they name
-	 * none it is empty, and the default applies. */
-	PH_SETTING_BOUND_MS,
+	/** Positive milliseconds, also fractions, in the text, microseconds in
+	 * the value. An empty text, as from an environment that sets no such
+	 * limit, means the default. */
+	PH_SETTING_FRACTIONAL_MS,
 	PH_SETTING_NUMBER,
+	/** Takes no value on the command line; the value is 0 or 1. */
 	PH_SETTING_FLAG,
 };
 
 struct ph_setting {
+	/** Name of the flag without its dashes. */
 	const char *flag;
 	enum ph_setting_type type;
 	/** Default as text; NULL makes the setting required. */
 	const char *fallback;
 	const char *help;
-	/** Where the value goes: const char * or uint64_t by type. */
+	/** Where the value is stored: text for TEXT, NAME and IP, number for
+	 * all other types. */
 	const char **text;
 	uint64_t *number;
-	/** Filled in: where the value came from. */
+	/** Set by ph_settings_load: "flag", "environment" or "default". */
 	const char *origin;
 };
 
-/** Initializers of a setting whose value is a text, or a number. */
+/** Initializers of a setting whose value is a string, or a number. */
 #define PH_SETTING_STR(t, f, fb, h, v)                                         \
 	{                                                                      \
 		.flag = (f), .type = (t), .fallback = (fb), .help = (h),       \
@@ -50,13 +54,15 @@
 
 struct ph_settings {
 	const char *program;
+	/** One sentence on the program, for --help. */
 	const char *summary;
 	struct ph_setting *list;
 	size_t count;
-	/** Positional arguments that are allowed, their names for --help. */
+	/** Names of the positional arguments, for --help, and the most that are
+	 * allowed. */
 	const char *operands;
 	int max_operands;
-	/** Filled in. */
+	/** Set by ph_settings_load; the strings are argv's. */
 	int operand_count;
 	const char **operand;
 };
@@ -67,8 +73,9 @@
 #define PH_EXIT_USAGE 2
 
 /**
- * Reads all settings. Prints one line for each fault, or the help or the
- * settings in force if asked. Returns -1 to go on, else an exit status.
+ * Reads all settings. Prints one line to standard error for each fault, or, if
+ * asked, the help or the settings in force to standard output. Returns -1 if
+ * the program is to continue, else its exit status.
  */
 int ph_settings_load(struct ph_settings *settings, int argc, char **argv);
 
--- a/src/spec.c
+++ b/src/spec.c
@@ -97,7 +97,7 @@
 int ph_spec_parse(const struct ph_mem *mem, const char *body, size_t len,
 		  struct ph_spec **out, struct ph_fault *fault)
 {
-	json_error_t where;
+	json_error_t json_error;
 	json_t *doc = NULL;
 	struct ph_spec *spec = NULL;
 	int err;
@@ -105,9 +105,9 @@
 	if (len > PH_MAX_BODY_BYTES)
 		return ph_fault_set(fault, PH_ERR_TOO_LARGE, "body over 1 MB",
 				    "/");
-	doc = json_loadb(body, len, JSON_REJECT_DUPLICATES, &where);
+	doc = json_loadb(body, len, JSON_REJECT_DUPLICATES, &json_error);
 	if (!doc)
-		return ph_fault_set(fault, PH_ERR_SYNTAX, where.text, "/");
+		return ph_fault_set(fault, PH_ERR_SYNTAX, json_error.text, "/");
 	spec = mem->calloc(1, sizeof(*spec));
 	spec->mem = mem;
 	err = parse_deadline(doc, spec, fault);
--- a/test/test_config.cc
+++ b/test/test_config.cc
@@ -31,7 +31,7 @@
 	std::vector<std::string> fields;
 };
 
-TEST(Config, ReportsEveryFaultWithItsPlace)
+TEST(Config, ReportsEveryFaultWithItsField)
 {
 	const FaultCase cases[] = {
 		{ "nonsense", { "/" } },
@@ -62,7 +62,7 @@
 	uint64_t in_force;
 };
 
-TEST(Confstore, NeverGoesBack)
+TEST(Confstore, VersionNeverDecreases)
 {
 	const OfferCase cases[] = {
 		{ 3, 0, 3 }, { 3, PH_ERR_VERSION, 3 }, { 2, PH_ERR_VERSION, 3 },
@@ -82,7 +82,7 @@
 	ph_confstore_free(&store);
 }
 
-TEST(Config, FindsTeamsByKey)
+TEST(Config, HashesKeysAsLowerCaseHexSha256)
 {
 	char digest[PH_DIGEST_HEX_BYTES];
 
--- a/test/test_spec.cc
+++ b/test/test_spec.cc
@@ -23,7 +23,7 @@
 	const char *field;
 };
 
-TEST(Spec, RefusesWithTheField)
+TEST(Spec, RejectsInvalidDocumentsNamingTheField)
 {
 	const BadCase cases[] = {
 		{ "", PH_ERR_SYNTAX, "/" },
@@ -56,7 +56,7 @@
 	}
 }
 
-TEST(Spec, ReadsTasks)
+TEST(Spec, AcceptsTheMostTasksAndTheDefaultDeadline)
 {
 	const std::string body = tasks(200);
 	struct ph_spec *spec = nullptr;
