--- a/include/peridothall.h
+++ b/include/peridothall.h
@@ -2,8 +2,8 @@
 #define PERIDOTHALL_H
 
 /*
- * Public interface of libperidothall: the dispatcher's entry instance as an
- * embeddable object, its settings and its error numbers.
+ * Public interface of libperidothall: an embeddable entry instance of the
+ * dispatcher, its settings, the allocator interface and the error codes.
  */
 
 #include <stddef.h>
@@ -16,8 +16,8 @@
 /**
  * ## Memory
  *
- * Every object takes the allocator that is handed to its constructor. The
- * three functions have the contracts of their C library namesakes.
+ * Every object allocates with the functions passed to its constructor. They
+ * behave like the C library functions of the same names.
  */
 struct ph_mem {
 	void *(*calloc)(size_t count, size_t size);
@@ -25,13 +25,14 @@
 	void (*free)(void *ptr);
 };
 
-/** Returns the allocator of the C library, which aborts when memory is out. */
+/** Returns a static allocator that uses the C library and aborts the process
+ * when memory runs out. */
 const struct ph_mem *ph_mem_default(void);
 
 /**
  * ## Errors
  *
- * Functions that can fail return 0 or one of these negative numbers.
+ * Functions that can fail return 0 (PH_OK) or one of these negative codes.
  */
 enum ph_error {
 	PH_OK = 0,
@@ -48,7 +49,7 @@
 	PH_ERR_SETTINGS = -11,
 };
 
-/** Returns a static English phrase for an error number. */
+/** Returns a static English description of an error code. */
 const char *ph_strerror(int error);
 
 /**
@@ -64,59 +65,70 @@
 /**
  * ## Entry instance
  *
- * One entry instance faces callers, keeps its share of the start ledger and
- * dispatches tasks to endpoints. It runs on threads of its own.
+ * An entry instance accepts jobs from callers, holds its share of the ledger
+ * (the records of jobs and task starts) and dispatches tasks to endpoints. It
+ * runs on its own threads.
  */
 struct ph_entry;
 
 struct ph_entry_settings {
-	/** Unique name of the instance and the failure domain it serves. */
+	/** Unique name of the instance. */
 	const char *name;
+	/** Failure domain that the instance serves. */
 	const char *domain;
-	/** IP number that sockets are bound to, also for outgoing peers. */
+	/** IP address that sockets bind to, including those of outgoing
+	 * connections to peers. */
 	const char *address;
 	uint16_t http_port;
 	uint16_t peer_port;
-	/** "ip:port" that peers dial; NULL means address and peer_port. */
+	/** "ip:port" to which peers connect; NULL: address and peer_port. */
 	const char *advertise;
-	/** "ip:port,..." of instances to ask while no roster is known. */
+	/** "ip:port,..." of instances that get heartbeats while no roster is
+	 * known. */
 	const char *seeds;
 	/** Base URL of the platform's key-value service. */
 	const char *platform_url;
+	/** Heartbeat interval. */
 	uint64_t ping_every_us;
-	/** Silence of a peer after which its removal is requested. */
+	/** Time without a message from a peer after which the instance requests
+	 * the peer's removal from the roster. */
 	uint64_t suspect_after_us;
-	/** Isolation after which first attempts are started alone. */
+	/** Time without contact to a peer and to the platform after which first
+	 * attempts of tasks start without that peer's acknowledgement. */
 	uint64_t solo_after_us;
-	/** How long an ended job is remembered. */
+	/** Time for which the records of ended jobs are kept. */
 	uint64_t retention_us;
-	/** Most bytes of remembered answers; ids are kept beyond it. */
+	/** Most bytes of kept answers of ended jobs, 0: no limit. Answers over
+	 * the limit are dropped; the job ids are still kept. */
 	uint64_t answer_bytes_max;
-	/** How long a request may wait for a home that can't be reached. */
+	/** Longest time for which a request waits while the job's home can't be
+	 * reached. */
 	uint64_t hold_us;
+	/** Time limit of one call to an endpoint. */
 	uint64_t task_timeout_us;
-	/** Quiet time before a graceful stop ends. */
+	/** Time without a new request before a graceful stop completes. */
 	uint64_t drain_us;
 };
 
-/** Fills settings with the defaults; the strings are left NULL. */
+/** Sets all settings to their defaults; strings are set to NULL. */
 void ph_entry_settings_init(struct ph_entry_settings *settings);
 
 /**
- * Starts an entry instance. The settings' strings must outlive it. Returns
- * 0 and sets *entry, or a negative error number.
+ * Starts an entry instance. The strings in settings must stay valid until
+ * ph_entry_join() returns. Returns 0 and sets *entry, or a negative error code.
  */
 int ph_entry_start(const struct ph_mem *mem,
 		   const struct ph_entry_settings *settings,
 		   struct ph_entry **entry);
 
-/** Requests a graceful stop: queued jobs are handed over, running end. */
+/** Requests a graceful stop: queued jobs are handed over to other instances,
+ * running jobs are completed. */
 void ph_entry_stop(struct ph_entry *entry);
 
-/** Waits until a requested stop has completed and frees the instance. */
+/** Waits for the stop requested by ph_entry_stop() and frees the instance. */
 void ph_entry_join(struct ph_entry *entry);
 
-/** Requests a dump of the instance's state to the log. */
+/** Requests that the instance writes its state to the log. */
 void ph_entry_dump(struct ph_entry *entry);
 
 #ifdef __cplusplus
