--- a/test/standin_platform.c
+++ b/test/standin_platform.c
@@ -1,7 +1,8 @@
 /*
- * Stand-in for the platform: a Consul-shaped HTTP key-value service with
- * compare-and-swap, blocking queries and a lagging instance list. It counts
- * its calls and can be told to be down, slow or to lose replies.
+ * Test stand-in for the platform: serves a subset of Consul's HTTP interface,
+ * namely a key-value store with compare-and-swap, blocking queries and service
+ * registration. It counts requests. POST /standin/mode makes it unavailable or
+ * slow, makes it lose replies, or delays the listing of new registrations.
  */
 
 #include <pthread.h>
@@ -41,10 +42,11 @@
 	char id[PH_NAME_BYTES];
 	char *doc;
 	uint64_t visible_us;
-	bool gone;
+	bool deregistered;
 };
 
-/* A request that waits: for news, or for the slowness to pass. */
+/* A blocking query that waits for a change, or a request that is delayed by
+ * the mode slow_ms. */
 struct waiting {
 	struct waiting *next;
 	struct ph_http_req *req;
@@ -63,12 +65,12 @@
 static uint64_t reads;
 static uint64_t writes;
 static uint64_t watches;
-static uint64_t lost;
+static uint64_t lost_replies;
 static uint64_t bytes_out;
 static bool down;
 static uint64_t slow_us;
 static uint64_t lose_replies;
-static uint64_t lag_us;
+static uint64_t listing_delay_us;
 
 static uint64_t now_us(void)
 {
@@ -92,14 +94,14 @@
 	ph_http_req_reply(req, &reply);
 }
 
-static void reply_lost(struct ph_http_req *req)
+static void abort_connection(struct ph_http_req *req)
 {
 	struct ph_http_reply reply = { .status = 500, .body = "", .abort = 1 };
 
 	ph_http_req_reply(req, &reply);
 }
 
-static struct entry *find(const char *key)
+static struct entry *find_entry(const char *key)
 {
 	size_t i;
 
@@ -141,8 +143,9 @@
 	json_decref(list);
 }
 
-/* Newest index among what a blocking query looks at. */
-static uint64_t newest(const char *path, bool prefix)
+/* Returns the highest index among the keys that a blocking query covers, or the
+ * index of the whole store if the query isn't for keys. */
+static uint64_t last_change_index(const char *path, bool prefix)
 {
 	const char *key = path + strlen("/v1/kv/");
 	uint64_t index = 0;
@@ -172,7 +175,7 @@
 
 		if (strcmp(in->service, service) != 0)
 			continue;
-		if (now < in->visible_us || in->gone)
+		if (now < in->visible_us || in->deregistered)
 			continue;
 		json_array_append_new(list,
 				      json_pack("{s:o}", "Service",
@@ -216,7 +219,7 @@
 	uint64_t from = index ? strtoull(index, NULL, 10) : 0;
 	uint64_t ms = wait ? strtoull(wait, NULL, 10) : WAIT_DEFAULT_MS;
 
-	if (from && newest(ph_http_req_path(req), prefix) <= from) {
+	if (from && last_change_index(ph_http_req_path(req), prefix) <= from) {
 		watches++;
 		enqueue(req, now_us() + ms * US_PER_MS, from, false);
 		return;
@@ -228,7 +231,7 @@
 static void write_key(struct ph_http_req *req, const char *key)
 {
 	const char *cas = ph_http_req_arg(req, "cas");
-	struct entry *e = find(key);
+	struct entry *e = find_entry(key);
 	uint64_t have = e && e->value ? e->index : 0;
 	size_t len;
 	const char *body = ph_http_req_body(req, &len);
@@ -249,8 +252,8 @@
 	e->index = ++store_index;
 	if (lose_replies) {
 		lose_replies--;
-		lost++;
-		reply_lost(req);
+		lost_replies++;
+		abort_connection(req);
 		return;
 	}
 	reply_indexed(req, 200, "true");
@@ -281,8 +284,8 @@
 	snprintf(in->id, sizeof(in->id), "%s", id);
 	free(in->doc);
 	in->doc = json_dumps(doc, JSON_COMPACT);
-	in->gone = false;
-	in->visible_us = now_us() + lag_us;
+	in->deregistered = false;
+	in->visible_us = now_us() + listing_delay_us;
 	store_index++;
 	json_decref(doc);
 	reply_indexed(req, 200, "true");
@@ -294,7 +297,7 @@
 
 	for (i = 0; i < instance_count; i++)
 		if (!strcmp(instances[i].id, id))
-			instances[i].gone = true;
+			instances[i].deregistered = true;
 	store_index++;
 	reply_indexed(req, 200, "true");
 }
@@ -317,7 +320,7 @@
 		lose_replies = (uint64_t)json_integer_value(v);
 	v = json_object_get(doc, "lag_ms");
 	if (v)
-		lag_us = (uint64_t)json_integer_value(v) * US_PER_MS;
+		listing_delay_us = (uint64_t)json_integer_value(v) * US_PER_MS;
 	json_decref(doc);
 	reply_indexed(req, 200, "true");
 }
@@ -330,7 +333,7 @@
 		 "{\"reads\":%llu,\"writes\":%llu,\"watches\":%llu,"
 		 "\"lost_replies\":%llu,\"bytes_out\":%llu}",
 		 (unsigned long long)reads, (unsigned long long)writes,
-		 (unsigned long long)watches, (unsigned long long)lost,
+		 (unsigned long long)watches, (unsigned long long)lost_replies,
 		 (unsigned long long)bytes_out);
 	reply_indexed(req, 200, text);
 }
@@ -364,7 +367,7 @@
 	else if (!strcmp(path, "/standin/counts"))
 		reply_counts(req);
 	else if (down)
-		reply_lost(req);
+		abort_connection(req);
 	else if (slow_us)
 		enqueue(req, now_us() + slow_us, 0, true);
 	else
@@ -372,7 +375,8 @@
 	pthread_mutex_unlock(&lock);
 }
 
-/* Takes one request off the list whose time or news has come. */
+/* Removes and returns a request that is due or whose data has changed; while
+ * the platform is down, any request. Returns NULL if there is none. */
 static struct waiting *take_due(uint64_t now)
 {
 	struct waiting **at = &waiting;
@@ -383,7 +387,7 @@
 		bool prefix = ph_http_req_arg(w->req, "recurse") != NULL;
 
 		if (now < w->due_us && !down &&
-		    (w->delayed || newest(path, prefix) <= w->index))
+		    (w->delayed || last_change_index(path, prefix) <= w->index))
 			continue;
 		*at = w->next;
 		return w;
@@ -391,7 +395,7 @@
 	return NULL;
 }
 
-static void reveal_lagging(uint64_t now)
+static void list_delayed_instances(uint64_t now)
 {
 	size_t i;
 
@@ -408,10 +412,10 @@
 	struct waiting *w;
 
 	pthread_mutex_lock(&lock);
-	reveal_lagging(now_us());
+	list_delayed_instances(now_us());
 	while ((w = take_due(now_us()))) {
 		if (down)
-			reply_lost(w->req);
+			abort_connection(w->req);
 		else if (w->delayed)
 			serve(w->req);
 		else
@@ -429,7 +433,7 @@
 		{ .flag = "address",
 		  .type = PH_SETTING_IP,
 		  .fallback = "127.0.0.1",
-		  .help = "IP number to listen on",
+		  .help = "IP address to listen on",
 		  .text = &address },
 		{ .flag = "port",
 		  .type = PH_SETTING_PORT,
@@ -439,7 +443,7 @@
 	};
 	struct ph_settings settings = {
 		.program = "standin-platform",
-		.summary = "A small stand-in for the platform, for tests.",
+		.summary = "Test stand-in for the platform's HTTP interface.",
 		.list = list,
 		.count = 2,
 	};
