--- a/test/standin_endpoint.c
+++ b/test/standin_endpoint.c
@@ -1,7 +1,8 @@
 /*
- * Stand-in for endpoints: one process serves several ports, each an endpoint
- * with its own slots. It runs a task for the time that its payload names,
- * counts starts per task, and can be told to fail, refuse, drop or leave.
+ * Test stand-in for endpoints: one process listens on several ports, each an
+ * endpoint with its own slots. A task takes the time given by run_ms in its
+ * payload. Starts are counted per task. POST /standin/mode makes an endpoint
+ * fail tasks, refuse them, drop the connection or report that it is leaving.
  */
 
 #include <pthread.h>
@@ -49,7 +50,7 @@
 	uint64_t starts;
 	uint64_t refused;
 	uint64_t last_start_us;
-	/** Run times are multiplied by this and divided by 100. */
+	/** Factor of the run time, in percent. */
 	uint64_t stretch;
 };
 
@@ -65,9 +66,10 @@
 static size_t endpoint_count;
 static struct run heap[HEAP_MAX];
 static size_t heap_count;
-/* Hashes of started tasks and how often each was started. */
-static uint64_t *seen;
-static uint8_t *seen_count;
+/* Hash table with linear probing: hashes of started tasks, and the number of
+ * starts of each, which stops at 2. */
+static uint64_t *task_hashes;
+static uint8_t *task_starts;
 static uint64_t distinct;
 static uint64_t doubled;
 
@@ -84,18 +86,18 @@
 	uint64_t hash = ph_hash_str(task) | 1;
 	size_t at = hash % TABLE_SLOTS;
 
-	while (seen[at] && seen[at] != hash)
+	while (task_hashes[at] && task_hashes[at] != hash)
 		at = (at + 1) % TABLE_SLOTS;
-	if (!seen[at]) {
-		seen[at] = hash;
+	if (!task_hashes[at]) {
+		task_hashes[at] = hash;
 		distinct++;
 	}
-	if (seen_count[at] == 1) {
+	if (task_starts[at] == 1) {
 		doubled++;
 		ph_log("endpoint", "Task %s was started twice.", task);
 	}
-	if (seen_count[at] < 2)
-		seen_count[at]++;
+	if (task_starts[at] < 2)
+		task_starts[at]++;
 }
 
 static void swap(size_t a, size_t b)
@@ -272,7 +274,7 @@
 		reply(run->req, 200, "{\"ok\":true}", false, 0);
 }
 
-static void run_all(void)
+static void finish_due_runs(void)
 {
 	pthread_mutex_lock(&lock);
 	for (;;) {
@@ -294,8 +296,8 @@
 	}
 }
 
-static void registered(void *ctx, void *user,
-		       const struct ph_http_result *result)
+static void on_register_result(void *ctx, void *user,
+			       const struct ph_http_result *result)
 {
 	(void)ctx;
 	if (result->err || result->status != 200)
@@ -307,7 +309,7 @@
 			 const char *domain, const char *address)
 {
 	struct ph_httpc_options options = { .mem = ph_mem_default(),
-					    .done = registered };
+					    .done = on_register_result };
 	struct ph_httpc *http = ph_httpc_new(&options);
 	char url[256];
 	size_t i;
@@ -346,12 +348,12 @@
 		{ .flag = "address",
 		  .type = PH_SETTING_IP,
 		  .fallback = "127.0.0.1",
-		  .help = "IP number to listen on",
+		  .help = "IP address to listen on",
 		  .text = &address },
 		{ .flag = "port",
 		  .type = PH_SETTING_PORT,
 		  .fallback = "9100",
-		  .help = "first port",
+		  .help = "port of the first endpoint",
 		  .number = &port },
 		{ .flag = "count",
 		  .type = PH_SETTING_NUMBER,
@@ -361,12 +363,12 @@
 		{ .flag = "slots",
 		  .type = PH_SETTING_NUMBER,
 		  .fallback = "8",
-		  .help = "slots of each",
+		  .help = "slots of each endpoint",
 		  .number = &slots },
 		{ .flag = "platform",
 		  .type = PH_SETTING_TEXT,
 		  .fallback = "",
-		  .help = "platform to register with",
+		  .help = "base URL of the platform to register with",
 		  .text = &platform },
 		{ .flag = "service",
 		  .type = PH_SETTING_NAME,
@@ -381,7 +383,7 @@
 	};
 	struct ph_settings settings = {
 		.program = "standin-endpoint",
-		.summary = "Small stand-ins for endpoints, for tests.",
+		.summary = "Test stand-ins for endpoints.",
 		.list = list,
 		.count = sizeof(list) / sizeof(list[0]),
 	};
@@ -399,8 +401,8 @@
 	apr_initialize();
 	signal(SIGPIPE, SIG_IGN);
 	ph_log_name(domain);
-	seen = calloc(TABLE_SLOTS, sizeof(*seen));
-	seen_count = calloc(TABLE_SLOTS, sizeof(*seen_count));
+	task_hashes = calloc(TABLE_SLOTS, sizeof(*task_hashes));
+	task_starts = calloc(TABLE_SLOTS, sizeof(*task_starts));
 	endpoint_count = (size_t)count;
 	for (i = 0; i < endpoint_count; i++) {
 		endpoints[i].port = (uint16_t)(port + i);
@@ -417,6 +419,6 @@
 	}
 	if (platform)
 		register_all(platform, service, domain, address);
-	run_all();
+	finish_due_runs();
 	return PH_EXIT_OK;
 }
